--- a/internal/retry/attempts.go
+++ b/internal/retry/attempts.go
@@ -8,12 +8,13 @@
 
 // Policy bounds the retries of one request.
 type Policy struct {
-	// MaxAttempts includes the first one.
+	// MaxAttempts includes the first attempt.
 	MaxAttempts int
 	// BaseBackoff is the longest wait before the second attempt; it doubles
-	// with every further one up to MaxBackoff.
+	// with every further attempt up to MaxBackoff.
 	BaseBackoff, MaxBackoff time.Duration
-	// MinAttempt is the least time an attempt needs to be worth starting.
+	// MinAttempt is the least time that must remain until the deadline for
+	// another attempt to be started.
 	MinAttempt time.Duration
 }
 
@@ -25,56 +26,57 @@
 	MinAttempt:  20 * time.Millisecond,
 }
 
-// Request is what the policy must know of a request.
+// Request holds the properties of a request that decide on its retries.
 type Request struct {
-	// Seed of the jitter, for example a hash of the request's id.
+	// Seed of the backoff jitter, for example a hash of the request's id.
 	Seed uint64
-	// Idempotent requests may be repeated although they may have run.
+	// Idempotent requests may be retried even if an attempt may have run.
 	Idempotent bool
-	// AtMostOnce requests are never repeated once they may have run, even if
-	// they are declared idempotent as well.
+	// AtMostOnce requests are never retried once an attempt may have run, even
+	// if they are declared idempotent as well.
 	AtMostOnce bool
 	// Deadline of the caller; zero means none.
 	Deadline time.Time
 }
 
-// Why names the reason of a decision, for metric labels.
-type Why string
+// Reason is the reason for a decision, in the form of a metric label.
+type Reason string
 
-// The reasons of a decision.
+// The reasons for a decision.
 const (
-	WhyRetry       Why = "retry"
-	WhyCompleted   Why = "completed"
-	WhyFinal       Why = "final_reason"
-	WhyMayHaveRun  Why = "may_have_run"
-	WhyAnswerBegun Why = "answer_begun"
-	WhyAttempts    Why = "attempts"
-	WhyDeadline    Why = "deadline"
-	WhyBudget      Why = "budget"
+	ReasonRetry       Reason = "retry"
+	ReasonCompleted   Reason = "completed"
+	ReasonFinal       Reason = "final_reason"
+	ReasonMayHaveRun  Reason = "may_have_run"
+	ReasonAnswerBegun Reason = "answer_begun"
+	ReasonAttempts    Reason = "attempts"
+	ReasonDeadline    Reason = "deadline"
+	ReasonBudget      Reason = "budget"
 )
 
-// Decision says what to do after an attempt.
+// Decision is what to do after an attempt.
 type Decision struct {
 	Retry bool
 	// After is how long to wait before the next attempt.
 	After time.Duration
-	// Final is the outcome for the caller when no further attempt is made,
-	// either because Retry is false or because the caller left meanwhile. It
-	// is unknown if any attempt may have run, and it is due at once.
-	Final outcome.Outcome
-	Why   Why
+	// Final is the outcome of the request if no further attempt is made, either
+	// because Retry is false or because the caller has left in the meantime. It
+	// is unknown if any attempt may have run, and is to be returned without
+	// waiting for After.
+	Final  outcome.Outcome
+	Reason Reason
 }
 
-// Attempts follows the attempts at one request. It is not safe for concurrent
+// Attempts tracks the attempts of one request. It is not safe for concurrent
 // use.
 type Attempts struct {
 	policy Policy
 	req    Request
 	made   int
-	sofar  outcome.Outcome
+	worst  outcome.Outcome
 }
 
-// NewAttempts returns the state of a request that has not been tried.
+// NewAttempts returns the state of a request before its first attempt.
 func NewAttempts(policy Policy, req Request) *Attempts {
 	return &Attempts{policy: policy, req: req}
 }
@@ -82,62 +84,62 @@
 // Made returns the number of attempts that have ended.
 func (a *Attempts) Made() int { return a.made }
 
-// Ended tells the outcome of an attempt and decides on the next step. begun
-// says that the caller has been sent part of the answer already and that the
-// answer cannot be resumed. A retry has been taken from the budget when
-// Retry is true.
+// Ended records the outcome of an attempt and decides whether to retry. begun
+// means that the caller has already been sent part of the answer and that the
+// answer cannot be resumed. If Retry is true, the retry has already been
+// charged to the budget, unless its reason is exempt.
 func (a *Attempts) Ended(o outcome.Outcome, begun bool, now time.Time, budget *Budget) Decision {
 	a.made++
 	if a.made == 1 {
-		a.sofar = o
+		a.worst = o
 	} else {
-		a.sofar = outcome.Worse(a.sofar, o)
+		a.worst = outcome.Worse(a.worst, o)
 	}
-	if why := a.forbidden(o, begun); why != "" {
-		return a.final(why)
+	if reason := a.refuseRetry(o, begun); reason != "" {
+		return a.final(reason)
 	}
 	after := a.backoff(o)
-	if !a.inTime(now.Add(after)) {
-		return a.final(WhyDeadline)
+	if !a.fitsDeadline(now.Add(after)) {
+		return a.final(ReasonDeadline)
 	}
-	if !freeOfCharge[o.Reason] && !budget.TryRetry(now) {
-		return a.final(WhyBudget)
+	if !budgetExempt[o.Reason] && !budget.TryRetry(now) {
+		return a.final(ReasonBudget)
 	}
-	return Decision{Retry: true, After: after, Final: a.sofar, Why: WhyRetry}
+	return Decision{Retry: true, After: after, Final: a.worst, Reason: ReasonRetry}
 }
 
-// forbidden returns why this request must not be tried again, or "".
-func (a *Attempts) forbidden(o outcome.Outcome, begun bool) Why {
+// refuseRetry returns why the request must not be retried, or "" if it may be.
+func (a *Attempts) refuseRetry(o outcome.Outcome, begun bool) Reason {
 	switch {
 	case o.Kind == outcome.Completed:
-		return WhyCompleted
+		return ReasonCompleted
 	case o.Kind == outcome.Unknown && (!a.req.Idempotent || a.req.AtMostOnce):
-		return WhyMayHaveRun
+		return ReasonMayHaveRun
 	case begun:
-		return WhyAnswerBegun
-	case final[o.Reason]:
-		return WhyFinal
+		return ReasonAnswerBegun
+	case finalReasons[o.Reason]:
+		return ReasonFinal
 	case a.made >= a.policy.MaxAttempts:
-		return WhyAttempts
+		return ReasonAttempts
 	default:
 		return ""
 	}
 }
 
-func (a *Attempts) final(why Why) Decision { return Decision{Final: a.sofar, Why: why} }
+func (a *Attempts) final(reason Reason) Decision { return Decision{Final: a.worst, Reason: reason} }
 
-func (a *Attempts) inTime(start time.Time) bool {
+func (a *Attempts) fitsDeadline(start time.Time) bool {
 	if a.req.Deadline.IsZero() {
 		return true
 	}
 	return !start.Add(a.policy.MinAttempt).After(a.req.Deadline)
 }
 
-// backoff returns between half and all of the exponential wait. A server that
-// refused for reasons of its own says nothing about the others, so the next
-// one is asked at once.
+// backoff returns a wait between half and all of the exponential backoff. It
+// is zero for the reasons in budgetExempt: they apply to one backend server
+// only, so the next one can be asked at once.
 func (a *Attempts) backoff(o outcome.Outcome) time.Duration {
-	if freeOfCharge[o.Reason] {
+	if budgetExempt[o.Reason] {
 		return 0
 	}
 	wait := a.policy.MaxBackoff
@@ -147,17 +149,18 @@
 	return wait/2 + time.Duration(jitter(a.req.Seed, a.made)*float64(wait/2))
 }
 
-// freeOfCharge holds the reasons of refusals that cost the backend server
-// nothing and are no sign of overload: the entry's view was a little old.
-// They are bounded by MaxAttempts alone, so that a roll or a drain under full
-// load does not use up the budget.
-var freeOfCharge = map[outcome.Reason]bool{
+// budgetExempt holds the reasons whose retries are not charged to the budget:
+// refusals that cost the backend server nothing and do not indicate overload,
+// only that the entry's view was slightly out of date. MaxAttempts alone
+// bounds them, so that a rolling update or a drain under full load does not
+// use up the budget.
+var budgetExempt = map[outcome.Reason]bool{
 	outcome.Leaving:        true,
 	outcome.VersionNotLive: true,
 }
 
-// final holds the reasons that another attempt cannot mend.
-var final = map[outcome.Reason]bool{
+// finalReasons holds the reasons for which another attempt would not help.
+var finalReasons = map[outcome.Reason]bool{
 	outcome.InvalidRequest:   true,
 	outcome.Unauthorized:     true,
 	outcome.NotFound:         true,
@@ -175,8 +178,8 @@
 	outcome.NoQuorum:         true,
 }
 
-// jitter returns a number in [0, 1) that depends on the seed and the attempt
-// only (SplitMix64).
+// jitter returns a number in [0, 1) that depends only on the seed and the
+// attempt (SplitMix64).
 func jitter(seed uint64, attempt int) float64 {
 	z := seed + uint64(attempt)*0x9e3779b97f4a7c15
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,9 +1,9 @@
-// Package retry decides whether the system repeats a request by itself.
+// Package retry decides whether a request is retried after an attempt.
 //
-// Two things are kept apart: a Budget, shared by all requests to a service,
-// which bounds retries to a share of recent requests so that a brown-out is
-// not amplified; and an Attempts value per request, which knows what has
-// happened to this one. Time and jitter come in as arguments.
+// A Budget, shared by all requests to a service, bounds retries to a share of
+// the recent requests, so that they do not amplify a brown-out. An Attempts
+// value tracks the attempts of one request. The time and the seed of the
+// jitter are arguments.
 package retry
 
 import (
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// budgetSlots is the number of slots a budget's window is cut into.
-const budgetSlots = 10
+// budgetBuckets is the number of buckets that a budget's window consists of.
+const budgetBuckets = 10
 
 // BudgetConfig bounds the retries of one service at one entry.
 type BudgetConfig struct {
-	// Share of the requests in the window that may be retries.
+	// Share is the number of retries allowed per request in the window.
 	Share float64
-	// Floor is the number of retries per window allowed without regard to
-	// the share, so that an entry with few requests can retry at all.
+	// Floor is the number of retries per window that is added to the share, so
+	// that an entry with few requests can retry at all.
 	Floor int
-	// Window over which requests and retries are counted.
+	// Window is the time over which requests and retries are counted.
 	Window time.Duration
 }
 
-// DefaultBudget allows one retry in five requests: enough for the answers in
-// progress in one of 12 zones to be made again elsewhere when it is lost (see
-// docs/CAPACITY.md), and no more load than 1.2 times in a brown-out.
+// DefaultBudget allows one retry per five requests. That is enough to retry
+// all requests in progress in one of 12 zones when that zone fails (see
+// docs/CAPACITY.md), and bounds the load in a brown-out to 1.2 times.
 var DefaultBudget = BudgetConfig{Share: 0.2, Floor: 3, Window: 10 * time.Second}
 
 // Budget counts requests and retries in a sliding window. It is safe for
@@ -37,17 +37,17 @@
 	width time.Duration
 
 	mu       sync.Mutex
-	newest   int64 // number of the newest slot since the Unix epoch
-	slots    [budgetSlots]slot
+	newest   int64 // number of the newest bucket since the Unix epoch
+	buckets  [budgetBuckets]bucket
 	requests int
 	retries  int
 }
 
-type slot struct{ requests, retries int }
+type bucket struct{ requests, retries int }
 
 // NewBudget returns an empty budget.
 func NewBudget(cfg BudgetConfig) *Budget {
-	return &Budget{cfg: cfg, width: max(cfg.Window/budgetSlots, time.Millisecond)}
+	return &Budget{cfg: cfg, width: max(cfg.Window/budgetBuckets, time.Millisecond)}
 }
 
 // Request counts the first attempt of a request.
@@ -73,15 +73,14 @@
 	return true
 }
 
-// SetFloor changes the number of retries that are allowed without regard to the
-// share.
+// SetFloor changes the Floor of the configuration.
 func (b *Budget) SetFloor(floor int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.cfg.Floor = floor
 }
 
-// Left returns how many retries may be taken now, in parts of one.
+// Left returns the number of retries available now, including a fraction.
 func (b *Budget) Left(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,14 +100,14 @@
 	return b.requests, b.retries
 }
 
-func (b *Budget) current() *slot { return &b.slots[b.newest%budgetSlots] }
+func (b *Budget) current() *bucket { return &b.buckets[b.newest%budgetBuckets] }
 
-// slide drops the slots that have left the window. A clock that goes back
-// goes on counting in the newest slot.
+// slide drops the buckets that have left the window. If the clock steps back,
+// requests and retries still count in the newest bucket.
 func (b *Budget) slide(now time.Time) {
 	number := now.UnixNano() / int64(b.width)
-	if number-b.newest >= budgetSlots {
-		b.slots = [budgetSlots]slot{}
+	if number-b.newest >= budgetBuckets {
+		b.buckets = [budgetBuckets]bucket{}
 		b.requests, b.retries = 0, 0
 		b.newest = number
 		return
@@ -118,6 +117,6 @@
 		old := b.current()
 		b.requests -= old.requests
 		b.retries -= old.retries
-		*old = slot{}
+		*old = bucket{}
 	}
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -8,7 +8,7 @@
 	"lynxgate.dev/lynxgate/internal/outcome"
 	"pgregory.net/rapid"
 
-	_ "lynxgate.dev/lynxgate/internal/testseed" // the same schedules every run
+	_ "lynxgate.dev/lynxgate/internal/testseed" // fixed seed for rapid
 )
 
 var t0 = time.Unix(1_000_000, 0)
@@ -20,34 +20,34 @@
 	soon := Request{Deadline: t0.Add(60 * time.Millisecond)}
 	late := Request{Deadline: t0.Add(30 * time.Millisecond)}
 	tests := []struct {
-		name  string
-		req   Request
-		outs  []outcome.Outcome
-		begun bool
-		floor int
-		why   Why
-		final outcome.Outcome
+		name   string
+		req    Request
+		outs   []outcome.Outcome
+		begun  bool
+		floor  int
+		reason Reason
+		final  outcome.Outcome
 	}{
-		{"completed", Request{}, []outcome.Outcome{outcome.Done()}, false, 9, WhyCompleted, outcome.Done()},
-		{"not run", Request{}, []outcome.Outcome{overload}, false, 9, WhyRetry, overload},
-		{"not run, at most once", Request{AtMostOnce: true}, []outcome.Outcome{overload}, false, 9, WhyRetry, overload},
-		{"may have run", Request{}, []outcome.Outcome{lost}, false, 9, WhyMayHaveRun, lost},
-		{"may have run, idempotent", Request{Idempotent: true}, []outcome.Outcome{lost}, false, 9, WhyRetry, lost},
-		{"at most once wins over idempotent", Request{Idempotent: true, AtMostOnce: true}, []outcome.Outcome{lost}, false, 9, WhyMayHaveRun, lost},
-		{"answer begun", Request{Idempotent: true}, []outcome.Outcome{lost}, true, 9, WhyAnswerBegun, lost},
-		{"caller left", Request{}, []outcome.Outcome{outcome.Not(outcome.Cancelled, "", 0)}, false, 9, WhyFinal, outcome.Not(outcome.Cancelled, "", 0)},
-		{"attempts used up", Request{}, []outcome.Outcome{overload, overload, overload}, false, 9, WhyAttempts, overload},
-		{"an unknown attempt stays unknown", Request{Idempotent: true}, []outcome.Outcome{lost, overload, overload}, false, 9, WhyAttempts, lost},
-		{"deadline leaves room", soon, []outcome.Outcome{overload}, false, 9, WhyRetry, overload},
-		{"deadline too near", late, []outcome.Outcome{overload}, false, 9, WhyDeadline, overload},
-		{"a drain needs no wait", late, []outcome.Outcome{leaving}, false, 9, WhyRetry, leaving},
-		{"budget used up", Request{}, []outcome.Outcome{overload}, false, 0, WhyBudget, overload},
-		{"a drain needs no budget", Request{}, []outcome.Outcome{leaving}, false, 0, WhyRetry, leaving},
-		{"a drain is bounded by attempts", Request{}, []outcome.Outcome{leaving, leaving, leaving}, false, 0, WhyAttempts, leaving},
+		{"completed", Request{}, []outcome.Outcome{outcome.Done()}, false, 9, ReasonCompleted, outcome.Done()},
+		{"not run", Request{}, []outcome.Outcome{overload}, false, 9, ReasonRetry, overload},
+		{"not run, at most once", Request{AtMostOnce: true}, []outcome.Outcome{overload}, false, 9, ReasonRetry, overload},
+		{"may have run", Request{}, []outcome.Outcome{lost}, false, 9, ReasonMayHaveRun, lost},
+		{"may have run, idempotent", Request{Idempotent: true}, []outcome.Outcome{lost}, false, 9, ReasonRetry, lost},
+		{"at most once wins over idempotent", Request{Idempotent: true, AtMostOnce: true}, []outcome.Outcome{lost}, false, 9, ReasonMayHaveRun, lost},
+		{"answer begun", Request{Idempotent: true}, []outcome.Outcome{lost}, true, 9, ReasonAnswerBegun, lost},
+		{"caller left", Request{}, []outcome.Outcome{outcome.Not(outcome.Cancelled, "", 0)}, false, 9, ReasonFinal, outcome.Not(outcome.Cancelled, "", 0)},
+		{"attempts used up", Request{}, []outcome.Outcome{overload, overload, overload}, false, 9, ReasonAttempts, overload},
+		{"unknown outcome of one attempt stays unknown", Request{Idempotent: true}, []outcome.Outcome{lost, overload, overload}, false, 9, ReasonAttempts, lost},
+		{"deadline allows a retry", soon, []outcome.Outcome{overload}, false, 9, ReasonRetry, overload},
+		{"deadline too near", late, []outcome.Outcome{overload}, false, 9, ReasonDeadline, overload},
+		{"a drain needs no wait", late, []outcome.Outcome{leaving}, false, 9, ReasonRetry, leaving},
+		{"budget used up", Request{}, []outcome.Outcome{overload}, false, 0, ReasonBudget, overload},
+		{"a drain needs no budget", Request{}, []outcome.Outcome{leaving}, false, 0, ReasonRetry, leaving},
+		{"a drain is bounded by attempts", Request{}, []outcome.Outcome{leaving, leaving, leaving}, false, 0, ReasonAttempts, leaving},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			// A long base keeps the wait between 25 and 40 ms plus MinAttempt.
+			// The backoff is 20 to 40 ms, and MinAttempt is added to it.
 			policy := Policy{MaxAttempts: 3, BaseBackoff: 40 * time.Millisecond, MaxBackoff: 40 * time.Millisecond, MinAttempt: 20 * time.Millisecond}
 			budget := NewBudget(BudgetConfig{Floor: tt.floor, Window: time.Second})
 			a := NewAttempts(policy, tt.req)
@@ -55,9 +55,9 @@
 			for i, o := range tt.outs {
 				d = a.Ended(o, tt.begun, t0, budget)
 				require.Equal(t, i+1, a.Made())
-				require.Equal(t, d.Why == WhyRetry, d.Retry)
+				require.Equal(t, d.Reason == ReasonRetry, d.Retry)
 			}
-			require.Equal(t, tt.why, d.Why)
+			require.Equal(t, tt.reason, d.Reason)
 			require.Equal(t, tt.final, d.Final)
 		})
 	}
@@ -80,17 +80,17 @@
 	})
 }
 
-// TestBudgetBoundsEveryWindow checks the amplification bound: whatever comes,
-// the retries of a window stay within share*requests + floor.
+// TestBudgetBoundsEveryWindow checks the amplification bound: the retries in a
+// window never exceed share*requests + floor.
 func TestBudgetBoundsEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := BudgetConfig{Share: rapid.Float64Range(0, 1).Draw(t, "share"), Floor: rapid.IntRange(0, 3).Draw(t, "floor"), Window: time.Second}
 		b := NewBudget(cfg)
 		now := t0
-		var requests, retries []int64 // slots
+		var requests, retries []int64 // bucket numbers
 		within := func(times []int64, s int64) (n int) {
 			for _, at := range times {
-				if at > s-budgetSlots {
+				if at > s-budgetBuckets {
 					n++
 				}
 			}
@@ -129,8 +129,8 @@
 	})
 }
 
-// TestBrownOutIsNotAmplified lets every attempt fail for a minute: the load
-// on the backend servers grows by the budget's share only.
+// TestBrownOutIsNotAmplified lets every attempt fail for a minute: retries add
+// no more than the budget's share and floor to the load.
 func TestBrownOutIsNotAmplified(t *testing.T) {
 	require.LessOrEqual(t, DefaultBudget.Share, 0.2)
 	for _, share := range []float64{0.1, DefaultBudget.Share} {
