--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -1,6 +1,7 @@
-// Package dispatch is an exact HTTP/1.1 client towards backend servers: it never
-// sends a request twice by itself, tells apart what was certainly not sent from
-// what may have run, and takes an answer only if it is the one to its request.
+// Package dispatch is an HTTP/1.1 client for requests to backend servers. It never
+// resends a request by itself, distinguishes requests that were certainly not sent
+// from those that may have run, and accepts an answer only if it belongs to the
+// request.
 //
 // State: idle connections by backend server. Messages: HTTP/1.1.
 package dispatch
@@ -23,39 +24,39 @@
 )
 
 const (
-	// dialTimeout bounds connecting to a backend server: links between regions
-	// take some ms, a lost opening packet is sent again after a second.
+	// dialTimeout bounds connecting to a backend server. Links between regions
+	// take some ms; a lost SYN packet is retransmitted only after a second.
 	dialTimeout = 400 * time.Millisecond
-	// maxIdle is after how long an idle connection is closed where the server
-	// has not said less.
+	// maxIdle is how long a connection may be idle before it is closed, unless
+	// the server states a shorter timeout.
 	maxIdle = 4 * time.Second
-	// idleMargin is how much sooner than its server a connection is closed, so
-	// that no request crosses the server's close.
+	// idleMargin is how long before the server's idle timeout a connection is
+	// closed, so that no request is sent while the server closes it.
 	idleMargin = 700 * time.Millisecond
-	// maxStray is how many answers to other requests are passed over on one
-	// connection before it is given up.
-	maxStray = 3
-	// maxDiscard bounds an answer that is passed over, in bytes.
+	// maxUnmatched is how many interim answers and answers to other requests are
+	// skipped before the connection is closed.
+	maxUnmatched = 3
+	// maxDiscard bounds the body of a skipped answer, in bytes.
 	maxDiscard = 1 << 20
 	readBuffer = 4 << 10
-	// unackedTimeout is for how long a request may be without an acknowledgement of the
-	// server's kernel: the connection has gone silent, or the server is cut off. Callers
-	// wait for the first event of a stream for 2 s at least; a link that is full
-	// holds a packet for half a second.
+	// unackedTimeout is how long sent data may stay unacknowledged by the server's
+	// kernel before the connection fails, as after a network partition. It is shorter
+	// than the 2 s that callers wait at least for the first event of a stream, and
+	// longer than the half second by which a saturated link delays a packet.
 	unackedTimeout = 1500 * time.Millisecond
 )
 
-// Errors of a send. Only after ErrNotSent is it certain that nothing was sent.
+// Errors of Send. Only ErrNotSent means that certainly nothing was sent.
 var (
 	ErrNotSent = errors.New("request was not sent")
-	// ErrNoConnection says that as many connections to the server are open as may be. It
-	// is an ErrNotSent.
+	// ErrNoConnection means that the limit on open connections to the server is
+	// reached. It wraps ErrNotSent.
 	ErrNoConnection = fmt.Errorf("%w: no free connection", ErrNotSent)
-	// ErrLost says that the connection failed after the request was sent, at
-	// least in part, and before an answer: it may have run.
+	// ErrLost means that the connection failed after at least part of the request
+	// was sent and before an answer was received: the request may have run.
 	ErrLost = errors.New("connection failed without an answer")
-	// ErrGarbled says that what came back is no answer to this request.
-	ErrGarbled = errors.New("not an answer to the request")
+	// ErrInvalidAnswer means that the bytes received are not an answer to this request.
+	ErrInvalidAnswer = errors.New("not an answer to the request")
 )
 
 // conn is one connection; it carries one request at a time.
@@ -67,50 +68,52 @@
 	reused    bool
 }
 
-// quiet tells whether the peer has neither closed an idle connection nor sent
-// anything on it: such bytes belong to no request.
-func (c *conn) quiet() bool {
+// stillIdle reports whether the peer has neither closed an idle connection nor sent
+// anything on it: bytes received on an idle connection belong to no request.
+func (c *conn) stillIdle() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		idle = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// Request is a request as it is sent, byte for byte.
+// Request is a request in its encoded form.
 type Request struct {
 	Method string
-	// Bytes are head and body.
+	// Bytes are the head and the body, which are sent unchanged.
 	Bytes []byte
-	// IDHeader and ID name the request; an answer with another id is not its own.
+	// ID is the value of the header IDHeader. An answer with another value belongs to
+	// another request.
 	IDHeader string
 	ID       string
 }
 
-// Answer is the head of an answer and its body, to be read until io.EOF and
-// closed. Close before the end breaks the connection, which cancels the request.
+// Answer is the head of an answer together with its body, which the caller reads
+// until io.EOF and then closes. Close before io.EOF closes the connection, which
+// cancels the request.
 type Answer struct {
 	*http.Response
 	pool *Pool
 	conn *conn
 	stop func() bool
-	// ended: the body was read to its end.
-	ended bool
-	// unframed: the body ends with the connection.
+	// complete is true once the body has been read completely.
+	complete bool
+	// unframed is true if the body ends only when the connection is closed.
 	unframed  bool
 	closeOnce sync.Once
 }
 
-// Send sends a request and returns the head of its answer. headBy, by package clock, bounds
-// the wait for it. Errors match ErrNotSent, ErrLost or ErrGarbled. A cancelled
-// ctx breaks the connection at any time until the answer is closed.
+// Send sends a request and returns the head of its answer, which must arrive before
+// headBy (a time of package clock). Errors match ErrNotSent, ErrLost or ErrInvalidAnswer.
+// Cancelling ctx closes the connection at any time until the answer is closed.
 func (p *Pool) Send(ctx context.Context, r *Request, headBy time.Time) (*Answer, error) {
 	c, err := p.get(ctx)
 	if err != nil {
@@ -128,7 +131,7 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	c.noteKeepAlive(resp.Header)
+	c.applyKeepAlive(resp.Header)
 	return &Answer{
 		Response: resp, pool: p, conn: c, stop: stop,
 		unframed: resp.ContentLength < 0 && len(resp.TransferEncoding) == 0,
@@ -140,13 +143,13 @@
 	if _, err := c.Write(r.Bytes); err != nil {
 		return nil, fmt.Errorf("%w: write: %w", ErrLost, err)
 	}
-	for stray := 0; stray <= maxStray; stray++ {
+	for unmatched := 0; unmatched <= maxUnmatched; unmatched++ {
 		if _, err := c.br.Peek(1); err != nil {
 			return nil, fmt.Errorf("%w: read: %w", ErrLost, err)
 		}
 		resp, err := http.ReadResponse(c.br, &http.Request{Method: r.Method})
 		if err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrGarbled, err)
+			return nil, fmt.Errorf("%w: %w", ErrInvalidAnswer, err)
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue // an interim answer
@@ -159,22 +162,22 @@
 			return nil, err
 		}
 	}
-	return nil, fmt.Errorf("%w: answers to other requests", ErrGarbled)
+	return nil, fmt.Errorf("%w: answers to other requests", ErrInvalidAnswer)
 }
 
-// discard passes over an answer to another request.
+// discard reads and drops an answer to another request.
 func discard(resp *http.Response) error {
 	if resp.Close || (resp.ContentLength < 0 && len(resp.TransferEncoding) == 0) {
-		return fmt.Errorf("%w: answer to request %q", ErrGarbled, resp.Header)
+		return fmt.Errorf("%w: answer to request %q", ErrInvalidAnswer, resp.Header)
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscard)); err != nil {
-		return fmt.Errorf("%w: answer to another request: %w", ErrGarbled, err)
+		return fmt.Errorf("%w: answer to another request: %w", ErrInvalidAnswer, err)
 	}
 	return resp.Body.Close()
 }
 
-// noteKeepAlive takes the idle timeout that the server states.
-func (c *conn) noteKeepAlive(h http.Header) {
+// applyKeepAlive applies the idle timeout that the server states.
+func (c *conn) applyKeepAlive(h http.Header) {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -186,28 +189,29 @@
 	}
 }
 
-// Reused tells whether the request went over a connection that had carried others.
+// Reused reports whether the connection had already carried other requests.
 func (a *Answer) Reused() bool { return a.conn.reused }
 
-// ReadBy bounds the next reads of the body, by package clock.
+// ReadBy sets the deadline of further reads of the body, a time of package clock.
 func (a *Answer) ReadBy(t time.Time) { _ = a.conn.SetReadDeadline(clock.Deadline(t)) }
 
-// Buffered tells whether more of the answer can be read without waiting.
+// Buffered returns the number of bytes that can be read without waiting.
 func (a *Answer) Buffered() int { return a.conn.br.Buffered() }
 
-// Read reads the body. io.EOF comes only at its proper end.
+// Read reads the body. It returns io.EOF only if the body is complete.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.Body.Read(p)
 	if err == io.EOF {
-		a.ended = true
+		a.complete = true
 	}
 	return n, err
 }
 
-// Close gives the connection back after a whole answer, and breaks it else.
+// Close returns the connection to the pool after a complete answer, and closes it
+// otherwise.
 func (a *Answer) Close() {
 	a.closeOnce.Do(func() {
 		alive := a.stop()
-		a.pool.put(a.conn, alive && a.ended && !a.Response.Close && !a.unframed)
+		a.pool.put(a.conn, alive && a.complete && !a.Response.Close && !a.unframed)
 	})
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -20,7 +20,7 @@
 const idHeader = "X-Id"
 
 // script is a server that answers the nth request of each connection with the nth
-// text, and then closes the connection if told to.
+// text. With closeAfter it closes the connection after the last one.
 func script(t *testing.T, closeAfter bool, texts ...string) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,12 +64,12 @@
 	return a, string(body), err
 }
 
-func whole(id, body string) string {
+func okAnswer(id, body string) string {
 	return "HTTP/1.1 200 OK\r\n" + idHeader + ": " + id + "\r\nContent-Length: 4\r\n\r\n" + body
 }
 
 func TestConnectionIsReused(t *testing.T) {
-	p := NewPool(script(t, false, whole("a", "aaaa"), whole("b", "bbbb")))
+	p := NewPool(script(t, false, okAnswer("a", "aaaa"), okAnswer("b", "bbbb")))
 	for _, id := range []string{"a", "b"} {
 		_, body, err := send(p, id)
 		require.NoError(t, err)
@@ -78,9 +78,9 @@
 	assert.EqualValues(t, 1, p.Dialled.Load())
 }
 
-func TestAnswerToAnotherRequestIsPassedOver(t *testing.T) {
-	// The first request's second answer stands where the second one's is due.
-	p := NewPool(script(t, false, whole("a", "aaaa"), whole("a", "late")+whole("b", "bbbb")))
+func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
+	// A second answer to the first request precedes the answer to the second.
+	p := NewPool(script(t, false, okAnswer("a", "aaaa"), okAnswer("a", "late")+okAnswer("b", "bbbb")))
 	_, _, err := send(p, "a")
 	require.NoError(t, err)
 	_, body, err := send(p, "b")
@@ -89,18 +89,18 @@
 }
 
 func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
-	p := NewPool(script(t, false, whole("a", "aaaa")+whole("a", "more"), whole("b", "bbbb")))
+	p := NewPool(script(t, false, okAnswer("a", "aaaa")+okAnswer("a", "more"), okAnswer("b", "bbbb")))
 	_, _, err := send(p, "a")
 	require.NoError(t, err)
 	time.Sleep(20 * time.Millisecond)
 	_, _, err = send(p, "b")
-	// The second request goes over a new connection, whose script begins anew.
+	// The second request is sent on a new connection, where the script starts over.
 	assert.EqualValues(t, 2, p.Dialled.Load())
 	assert.Error(t, err, "the answer there is to another request")
 }
 
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
-	p := NewPool(script(t, true, whole("a", "aaaa")))
+	p := NewPool(script(t, true, okAnswer("a", "aaaa")))
 	for range 2 {
 		_, _, err := send(p, "a")
 		require.NoError(t, err)
@@ -109,7 +109,7 @@
 	assert.EqualValues(t, 2, p.Dialled.Load())
 }
 
-func TestAnswerThatBreaksOffIsNoWholeAnswer(t *testing.T) {
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	p := NewPool(script(t, true, "HTTP/1.1 200 OK\r\n"+idHeader+": a\r\nContent-Length: 10\r\n\r\nhalf"))
 	_, _, err := send(p, "a")
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
@@ -127,7 +127,7 @@
 	assert.EqualValues(t, 0, p.open.Load(), "the connection is not kept")
 }
 
-func TestErrorsTellWhatIsCertain(t *testing.T) {
+func TestErrorsDistinguishUnsentFromPossiblyRun(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := lis.Addr().String()
@@ -140,16 +140,16 @@
 	assert.False(t, errors.Is(err, ErrNotSent))
 
 	_, _, err = send(NewPool(script(t, true, "this is not HTTP\r\n\r\n")), "a")
-	assert.ErrorIs(t, err, ErrGarbled)
+	assert.ErrorIs(t, err, ErrInvalidAnswer)
 
-	p := NewPool(script(t, false, whole("a", "aaaa")))
+	p := NewPool(script(t, false, okAnswer("a", "aaaa")))
 	p.SetMax(1)
 	p.open.Store(1)
 	_, _, err = send(p, "a")
 	assert.ErrorIs(t, err, ErrNotSent)
 }
 
-func TestCancelBreaksTheConnection(t *testing.T) {
+func TestCancelClosesTheConnection(t *testing.T) {
 	p := NewPool(script(t, false, "HTTP/1.1 200 OK\r\n"+idHeader+": a\r\nContent-Length: 10\r\n\r\nhalf"))
 	ctx, cancel := context.WithCancel(context.Background())
 	a, err := p.Send(ctx, &Request{Method: "GET", Bytes: []byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"), IDHeader: idHeader, ID: "a"}, time.Now().Add(time.Minute))
@@ -161,13 +161,13 @@
 	assert.EqualValues(t, 0, p.open.Load())
 }
 
-// silentConn is a connection on which what is sent is never acknowledged.
+// silentConn is a connection on which sent data is never acknowledged.
 type silentConn struct{ *net.TCPConn }
 
 func (silentConn) Read([]byte) (int, error) { return 0, syscall.ETIMEDOUT }
 
-func TestIdleConnectionsAreDroppedOnceOneWasSilent(t *testing.T) {
-	p := NewPool(script(t, false, whole("a", "aaaa"), whole("b", "bbbb")))
+func TestIdleConnectionsAreClosedAfterOneTimedOut(t *testing.T) {
+	p := NewPool(script(t, false, okAnswer("a", "aaaa"), okAnswer("b", "bbbb")))
 	answers := make([]*Answer, 3)
 	for i := range answers {
 		a, err := p.Send(context.Background(), &Request{Method: "GET", Bytes: []byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"), IDHeader: idHeader, ID: "a"}, time.Now().Add(time.Minute))
@@ -194,7 +194,7 @@
 	assert.NoError(t, err, "over a new connection")
 }
 
-func TestKeepAliveOfTheServerIsKept(t *testing.T) {
+func TestKeepAliveTimeoutOfTheServerIsRespected(t *testing.T) {
 	text := "HTTP/1.1 200 OK\r\n" + idHeader + ": a\r\nKeep-Alive: timeout=1\r\nContent-Length: 4\r\n\r\naaaa"
 	p := NewPool(script(t, false, text, text))
 	_, _, err := send(p, "a")
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -13,13 +13,13 @@
 	"lynxgate.dev/lynxgate/internal/unacked"
 )
 
-// Pool holds the idle connections to one start of one backend server.
+// Pool holds the idle connections to one incarnation of a backend server.
 type Pool struct {
 	addr string
-	// max is how many connections may be open, 0 for no limit.
+	// max is how many connections may be open; 0 means no limit.
 	max  atomic.Int64
 	open atomic.Int64
-	// Dialled counts the connections made.
+	// Dialled counts the connections established.
 	Dialled atomic.Int64
 
 	mu     sync.Mutex
@@ -30,18 +30,18 @@
 // NewPool returns an empty pool for a server at addr ("ip:port").
 func NewPool(addr string) *Pool { return &Pool{addr: addr} }
 
-// SetMax bounds the connections that may be open.
+// SetMax limits the number of open connections.
 func (p *Pool) SetMax(n int) { p.max.Store(int64(n)) }
 
-// CloseIdle closes idle connections: one to the server has gone silent for good, and
-// others that were open at the same time may have, too.
+// CloseIdle closes the idle connections. It is called when a connection to the server
+// has become unresponsive: others that were open at the same time may be so, too.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dropIdle()
 }
 
-// Close closes idle connections; those in use are closed when they come back.
+// Close closes the idle connections; those in use are closed when their answers are.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +61,7 @@
 	_ = c.Close()
 }
 
-// get returns a sound idle connection, or a new one.
+// get returns a usable idle connection, or a new one.
 func (p *Pool) get(ctx context.Context) (*conn, error) {
 	if c := p.takeIdle(); c != nil {
 		return c, nil
@@ -77,13 +77,13 @@
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	p.Dialled.Add(1)
-	// Where the system does not know the option, the deadline of each send is left.
+	// If the system lacks the option, the deadline of each attempt still applies.
 	_ = unacked.Bound(nc, unackedTimeout)
 	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), idleLimit: maxIdle}, nil
 }
 
-// Probe connects to the server and closes the connection again; the error is that of
-// connecting.
+// Probe connects to the server and closes the connection; its error is that of the
+// connect.
 func (p *Pool) Probe(ctx context.Context) error {
 	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", p.addr)
 	if err != nil {
@@ -100,7 +100,7 @@
 	for len(p.idle) > 0 {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if now.Sub(c.idleSince) < c.idleLimit && c.quiet() {
+		if now.Sub(c.idleSince) < c.idleLimit && c.stillIdle() {
 			c.reused = true
 			return c
 		}
@@ -109,7 +109,8 @@
 	return nil
 }
 
-// put takes a connection back whose answer was read whole.
+// put makes a connection idle again, or closes it if it cannot be reused: keep is false
+// unless its answer was read completely.
 func (p *Pool) put(c *conn, keep bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,7 +123,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// CloseStale closes connections that were idle for too long.
+// CloseStale closes the connections that have been idle for longer than their limit.
 func (p *Pool) CloseStale(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
