--- a/internal/orders/events.go
+++ b/internal/orders/events.go
@@ -8,13 +8,13 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// Event is something that happened to or around the engine.
+// Event is an input of the Machine.
 type Event interface {
 	apply(m *Machine, now time.Time) []Action
 }
 
-// Assigned brings the VM's assignment. One with a lower fencing number than
-// the one followed is ignored.
+// Assigned carries the VM's assignment. It is ignored if its fencing token is
+// lower than that of the current assignment.
 type Assigned struct{ Assignment inventory.Assignment }
 
 func (e Assigned) apply(m *Machine, _ time.Time) []Action {
@@ -23,7 +23,7 @@
 	}
 	m.fence = e.Assignment.Fence
 	m.target = targetOf(e.Assignment)
-	m.first = e.Assignment.First
+	m.firstAssignment = e.Assignment.First
 	return nil
 }
 
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// EngineReported brings the engine's answer to QueryEngine.
+// EngineReported is the engine's answer to QueryEngine, or its failure.
 type EngineReported struct {
 	// ID of the query answered.
 	ID    uint64
@@ -48,30 +48,31 @@
 		return nil
 	}
 	m.querying = false
-	if m.quarantined(m.queryStarted) {
+	if m.lateOrderPossible(m.queryStarted) {
 		return nil
 	}
 	if e.Err != nil || e.State.State == engine.StateLoading {
-		return e.retryQuery(m, now)
+		return e.stateUnavailable(m, now)
 	}
 	m.queryFailures = 0
 	m.engineKnown = true
 	m.engine = e.State
 	if m.phase == phaseConfirming {
 		m.phase = phaseIdle
-		m.uncertain = m.uncertain && e.State.Fence != m.fence
-		return m.settleJournal()
+		m.orderUncertain = m.orderUncertain && e.State.Fence != m.fence
+		return m.recordOrderDone()
 	}
-	lost := m.serving != (Ref{}) && !m.engineHolds(m.serving)
+	lost := m.serving != (Ref{}) && !m.engineIsLive(m.serving)
 	if lost {
 		return m.stopServing()
 	}
 	return nil
 }
 
-// retryQuery keeps the state unknown; a later Tick asks again. An engine that
-// is loading serves nothing, nor does one that failed to answer repeatedly.
-func (e EngineReported) retryQuery(m *Machine, _ time.Time) []Action {
+// stateUnavailable leaves the engine's state unknown until a query after a later Tick
+// succeeds. It stops serving from an engine that is loading or has failed to
+// answer maxQueryFailures times in a row.
+func (e EngineReported) stateUnavailable(m *Machine, _ time.Time) []Action {
 	m.engineKnown = false
 	if e.Err == nil {
 		m.queryFailures = 0
@@ -84,7 +85,7 @@
 	return m.stopServing()
 }
 
-// Drained says that no request is in progress after StopServing.
+// Drained means that no request is in progress any more after StopServing.
 type Drained struct{}
 
 func (Drained) apply(m *Machine, _ time.Time) []Action {
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// OrderDone brings the end of a Load or Unload.
+// OrderDone is the result of a Load or Unload.
 type OrderDone struct{ Err error }
 
 func (e OrderDone) apply(m *Machine, now time.Time) []Action {
@@ -108,8 +109,8 @@
 	return m.query(now)
 }
 
-// Tick lets time pass and has the engine asked for its state, except while
-// an order is in progress.
+// Tick is sent periodically. It queries the engine's state, except while an
+// order is in progress.
 type Tick struct{}
 
 func (Tick) apply(m *Machine, now time.Time) []Action {
@@ -119,7 +120,8 @@
 	return m.query(now)
 }
 
-// Leave says that the VM is leaving: no further orders, no new work.
+// Leave means that the VM is leaving: it gives no further orders and takes no
+// new requests.
 type Leave struct{}
 
 func (Leave) apply(m *Machine, _ time.Time) []Action {
@@ -127,26 +129,28 @@
 	return m.stopServing()
 }
 
-// Action is something the agent has to do.
+// Action is an output of the Machine, to be carried out by the agent.
 type Action interface{ action() }
 
-// Serve allows requests pinned to the version.
+// Serve admits requests for the version.
 type Serve struct{ Ref Ref }
 
 // StopServing refuses new requests. The agent answers with Drained once no
 // request is in progress.
 type StopServing struct{}
 
-// WriteJournal keeps the journal, synced, before any later action.
+// WriteJournal writes the journal and syncs it to disk before any later action.
 type WriteJournal struct{ Journal Journal }
 
-// Load gives the engine a load order and answers with OrderDone.
+// Load sends the engine a load order. The agent answers with OrderDone.
 type Load struct{ Order engine.LoadOrder }
 
-// Unload orders the engine to drop its weights and answers with OrderDone.
+// Unload orders the engine to unload its weights. The agent answers with
+// OrderDone.
 type Unload struct{ Fence uint64 }
 
-// QueryEngine asks for the engine's state and answers with EngineReported.
+// QueryEngine queries the engine's state. The agent answers with
+// EngineReported.
 type QueryEngine struct{ ID uint64 }
 
 func (Serve) action()        {}
--- a/internal/orders/machine.go
+++ b/internal/orders/machine.go
@@ -1,16 +1,17 @@
-// Package orders decides what the engine beside an agent is told, and when
-// the agent may serve from it. It is a pure state machine: Step takes an
-// event and the time and returns actions; the agent carries them out and
-// reports back with further events.
+// Package orders decides which load and unload orders an agent sends to its
+// engine, and when the agent may serve from the engine. It is a pure state
+// machine: Step takes an event and the time and returns actions; the agent
+// carries them out and reports their results as further events.
 //
-// State: the assignment followed (its fencing number only rises), what the
-// engine reported, and at most one order in progress. An order's end may be
-// unknown (lost answer, restarted agent). Where the engine checks fencing
-// numbers it refuses a late order itself, once it has followed a newer number:
-// until then the machine serves only on an order of the current number. Where
-// the engine does not check, the machine neither orders nor serves until the
+// State: the current assignment (its fencing token never decreases), the
+// engine's last reported state, and at most one order in progress. The outcome
+// of an order may be unknown (lost answer, restarted agent), and the order may
+// then still reach the engine late. An engine that checks fencing tokens
+// refuses a late order once it has accepted one with a newer token; until then
+// the machine serves only if the engine reports the current token. With an
+// engine that does not check, the machine neither orders nor serves until the
 // longest order timeout has passed. So a late order cannot change the weights
-// below a live replica.
+// of a live replica.
 package orders
 
 import (
@@ -23,11 +24,11 @@
 
 // Config of a Machine.
 type Config struct {
-	// ChecksFencing is true where the engine refuses old fencing numbers.
+	// ChecksFencing is true if the engine refuses outdated fencing tokens.
 	ChecksFencing bool
 	// OrderTimeout is the longest time an order may take at the engine.
 	OrderTimeout time.Duration
-	// RetryDelay is waited after a failed order.
+	// RetryDelay is the wait before the next order after a failed one.
 	RetryDelay time.Duration
 }
 
@@ -37,7 +38,8 @@
 	DefaultRetryDelay   = 2 * time.Second
 )
 
-// maxQueryFailures in a row end serving from an engine that does not answer.
+// maxQueryFailures is the number of consecutive unanswered queries after which
+// the machine stops serving.
 const maxQueryFailures = 3
 
 // WithDefaults returns c with zero values replaced.
@@ -63,22 +65,22 @@
 	Digest string
 }
 
-// Journal is what the agent keeps on its scratch folder about orders.
+// Journal is what the agent stores about orders in its scratch directory.
 type Journal struct {
-	// Fence is the highest fencing number followed.
+	// Fence is the highest fencing token of an accepted assignment.
 	Fence uint64 `json:"fence"`
-	// Pending is true while an order's end is not known.
+	// Pending is true while the outcome of an order is unknown.
 	Pending bool `json:"pending"`
 }
 
-// phase of the machine.
+// phase is the step of an order that the machine waits for.
 type phase int
 
 const (
 	phaseIdle phase = iota
 	// phaseDraining waits until requests in progress have ended.
 	phaseDraining
-	// phaseOrdering waits for the end of an order.
+	// phaseOrdering waits for the result of an order.
 	phaseOrdering
 	// phaseConfirming waits for the engine's state after an order.
 	phaseConfirming
@@ -91,10 +93,10 @@
 
 	fence  uint64
 	target Ref
-	// first is true while the assignment followed is the VM's first.
-	first bool
-	// noJournal is true while an earlier agent's orders are suspected only
-	// since there is no journal.
+	// firstAssignment is true while the current assignment is the VM's first.
+	firstAssignment bool
+	// noJournal is true while the missing journal is the only reason to assume
+	// that an order of an earlier agent process is in flight.
 	noJournal bool
 	staged    map[Ref]Weights
 
@@ -103,27 +105,27 @@
 	querying     bool
 	queryID      uint64
 	queryStarted time.Time
-	// queryFailures counts unanswered queries in a row.
+	// queryFailures counts consecutive unanswered queries.
 	queryFailures int
-	// uncertain is true while an older order may still be under way to an
-	// engine that checks fencing numbers.
-	uncertain bool
-	// notBefore is when an older order can no longer be under way to an
-	// engine that does not.
+	// orderUncertain is true while an older order may still be in flight to an
+	// engine that checks fencing tokens.
+	orderUncertain bool
+	// notBefore is the time from which an older order can no longer be in
+	// flight to an engine that does not check them.
 	notBefore time.Time
 	retryAt   time.Time
 
 	serving Ref
 	leaving bool
-	// staleFence is the fencing number that the engine refused; no order is
-	// given until the assignment's number is above it.
-	staleFence uint64
-	lastError  string
+	// engineFence is the engine's own fencing token, as of its last refusal of an
+	// outdated one; no order is given until the assignment's token is higher.
+	engineFence uint64
+	lastError   string
 }
 
-// New returns a machine that has followed no assignment yet. The journal is
-// nil if the scratch folder holds none: an order of an earlier agent may be
-// in progress then, as with a pending one.
+// New returns a machine without an assignment. The journal is nil if the
+// scratch directory has none: an order of an earlier agent process may be in
+// flight then, as with a pending one.
 func New(cfg Config, journal *Journal, now time.Time) *Machine {
 	m := &Machine{cfg: cfg.WithDefaults(), staged: map[Ref]Weights{}}
 	if journal != nil {
@@ -131,26 +133,26 @@
 	}
 	m.noJournal = journal == nil
 	if journal == nil || journal.Pending {
-		m.suspectOrder(now)
+		m.assumeOrderInFlight(now)
 	}
 	return m
 }
 
-// firstOnly reports whether the only orders that can be under way ask for
-// what the assignment followed asks for: it is the VM's first, and nothing but
-// a missing journal speaks for an order.
-func (m *Machine) firstOnly() bool { return m.first && m.noJournal }
+// onlyFirstAssignment reports whether any order in flight must be for the current target:
+// the assignment is the VM's first, and only the missing journal suggests that
+// there is an order.
+func (m *Machine) onlyFirstAssignment() bool { return m.firstAssignment && m.noJournal }
 
-// quarantined reports whether an older order may still change what an engine
-// holds that does not check fencing numbers.
-func (m *Machine) quarantined(now time.Time) bool {
-	return now.Before(m.notBefore) && !m.firstOnly()
+// lateOrderPossible reports whether an older order may still change the weights of an
+// engine that does not check fencing tokens.
+func (m *Machine) lateOrderPossible(now time.Time) bool {
+	return now.Before(m.notBefore) && !m.onlyFirstAssignment()
 }
 
-// suspectOrder notes that an order with an unknown end may be under way.
-func (m *Machine) suspectOrder(now time.Time) {
+// assumeOrderInFlight notes that an order with an unknown outcome may be in flight.
+func (m *Machine) assumeOrderInFlight(now time.Time) {
 	if m.cfg.ChecksFencing {
-		m.uncertain = true
+		m.orderUncertain = true
 		return
 	}
 	m.notBefore = now.Add(m.cfg.OrderTimeout)
@@ -159,13 +161,14 @@
 // Serving returns the version that may be served, or the zero Ref.
 func (m *Machine) Serving() Ref { return m.serving }
 
-// Fence returns the highest fencing number followed.
+// Fence returns the highest fencing token of an accepted assignment.
 func (m *Machine) Fence() uint64 { return m.fence }
 
 // LastError describes the last failed order; empty after a success.
 func (m *Machine) LastError() string { return m.lastError }
 
-// Loading reports whether an order to load target is in progress.
+// Loading reports whether an order to change the engine to target is in
+// progress.
 func (m *Machine) Loading() (target Ref, ok bool) {
 	busy := m.phase == phaseOrdering || m.phase == phaseConfirming
 	return m.target, busy
@@ -185,28 +188,29 @@
 	if m.leaving {
 		return nil
 	}
-	if m.quarantined(now) {
+	if m.lateOrderPossible(now) {
 		return nil
 	}
 	if !m.engineKnown {
 		return m.query(now)
 	}
-	if m.engineHolds(m.target) {
+	if m.engineIsLive(m.target) {
 		return m.serve(m.target)
 	}
 	return m.replace(now)
 }
 
-// engineHolds reports whether the engine is live on ref with the digest that
-// was verified here. Without staged weights there is nothing to compare with.
-func (m *Machine) engineHolds(ref Ref) bool {
+// engineIsLive reports whether the engine is live with the weights of ref, whose
+// digest was verified here. Without staged weights the digest cannot be
+// compared, and only the version already being served counts as live.
+func (m *Machine) engineIsLive(ref Ref) bool {
 	if ref == (Ref{}) || m.engine.State != engine.StateLive {
 		return false
 	}
 	if m.engine.Model != ref.Model || m.engine.Version != ref.Version {
 		return false
 	}
-	if m.uncertain && m.engine.Fence != m.fence && !m.firstOnly() {
+	if m.orderUncertain && m.engine.Fence != m.fence && !m.onlyFirstAssignment() {
 		return false
 	}
 	weights, ok := m.staged[ref]
@@ -216,7 +220,8 @@
 	return m.engine.Digest == "" || m.engine.Digest == weights.Digest
 }
 
-// replace drains the engine and orders it to hold the target.
+// replace drains the engine and orders it to load the target, or to unload if
+// there is no target.
 func (m *Machine) replace(now time.Time) []Action {
 	unload := m.target == (Ref{})
 	if unload && m.engine.State == engine.StateEmpty {
@@ -226,7 +231,7 @@
 	if !unload && !staged {
 		return nil
 	}
-	if m.fence <= m.staleFence || now.Before(m.retryAt) {
+	if m.fence <= m.engineFence || now.Before(m.retryAt) {
 		return nil
 	}
 	if m.serving != (Ref{}) {
@@ -238,7 +243,7 @@
 
 func (m *Machine) order(unload bool, weights Weights) []Action {
 	m.phase = phaseOrdering
-	m.forgetEngine()
+	m.resetEngineState()
 	journal := WriteJournal{Journal{Fence: m.fence, Pending: true}}
 	if unload {
 		return []Action{journal, Unload{Fence: m.fence}}
@@ -279,40 +284,40 @@
 	return []Action{QueryEngine{ID: m.queryID}}
 }
 
-// forgetEngine drops what is known of the engine, and the answer to a query
-// that is under way: it may describe the engine before an order.
-func (m *Machine) forgetEngine() {
+// resetEngineState discards the engine's state and the answer to a query in flight,
+// which may describe the engine before an order.
+func (m *Machine) resetEngineState() {
 	m.engineKnown = false
 	m.querying = false
 	m.queryID++
 }
 
-// orderFailed handles an order that was refused or whose end is unknown.
+// orderFailed handles an order that was refused or whose outcome is unknown.
 func (m *Machine) orderFailed(now time.Time, err error) []Action {
 	m.phase = phaseIdle
 	m.lastError = err.Error()
 	m.retryAt = now.Add(m.cfg.RetryDelay)
 	var stale *engine.StaleFenceError
 	if errors.As(err, &stale) {
-		m.staleFence = stale.Current
-		return m.settleJournal()
+		m.engineFence = stale.Current
+		return m.recordOrderDone()
 	}
 	var refused *engine.StatusError
 	if errors.As(err, &refused) {
-		return m.settleJournal()
+		return m.recordOrderDone()
 	}
 	m.noJournal = false
-	m.suspectOrder(now)
+	m.assumeOrderInFlight(now)
 	return nil
 }
 
-// settleJournal records that the latest order has ended.
-func (m *Machine) settleJournal() []Action {
-	return []Action{WriteJournal{Journal{Fence: m.fence, Pending: m.uncertain}}}
+// recordOrderDone records that the outcome of the latest order is known.
+func (m *Machine) recordOrderDone() []Action {
+	return []Action{WriteJournal{Journal{Fence: m.fence, Pending: m.orderUncertain}}}
 }
 
-// targetOf returns the version that an assignment wants live. The last one
-// wanted active counts: an engine holds one version at a time.
+// targetOf returns the version that an assignment wants live. The last active
+// one counts, since an engine loads one version at a time.
 func targetOf(a inventory.Assignment) Ref {
 	var target Ref
 	for _, want := range a.Wants {
--- a/internal/orders/machine_test.go
+++ b/internal/orders/machine_test.go
@@ -43,8 +43,8 @@
 	return StagedChanged{Staged: staged}
 }
 
-// settled returns a machine that serves v1 from a live engine.
-func settled(t *testing.T) *Machine {
+// servingV1 returns a machine that serves v1 from a live engine.
+func servingV1(t *testing.T) *Machine {
 	t.Helper()
 	m := New(Config{ChecksFencing: true}, &Journal{}, start)
 	m.Step(start, allStaged())
@@ -55,7 +55,7 @@
 }
 
 func TestNewVersionDrainsBeforeLoading(t *testing.T) {
-	m := settled(t)
+	m := servingV1(t)
 	require.Equal(t, []Action{StopServing{}}, m.Step(start, Assigned{assignment(2, v2)}))
 	require.Equal(t, []Action{QueryEngine{ID: m.queryID}}, m.Step(start, Tick{}), "no order while requests are in progress")
 	actions := m.Step(start, Drained{})
@@ -64,7 +64,7 @@
 }
 
 func TestServesOnlyWhatTheEngineConfirms(t *testing.T) {
-	m := settled(t)
+	m := servingV1(t)
 	m.Step(start, Assigned{assignment(2, v2)})
 	m.Step(start, Drained{})
 	require.Equal(t, []Action{QueryEngine{ID: m.queryID}}, m.Step(start, OrderDone{}))
@@ -76,14 +76,14 @@
 }
 
 func TestOlderAssignmentIsIgnored(t *testing.T) {
-	m := settled(t)
+	m := servingV1(t)
 	m.Step(start, Assigned{assignment(5, v1)})
 	require.Empty(t, m.Step(start, Assigned{assignment(4, v2)}))
 	require.Equal(t, v1, m.Serving())
 }
 
 func TestStaleFenceStopsOrdersUntilANewerAssignment(t *testing.T) {
-	m := settled(t)
+	m := servingV1(t)
 	m.Step(start, Assigned{assignment(2, v2)})
 	m.Step(start, Drained{})
 	m.Step(start, OrderDone{Err: &engine.StaleFenceError{Ordered: 2, Current: 7}})
@@ -93,8 +93,8 @@
 	require.Len(t, actions, 2)
 }
 
-func TestUnansweredEngineStopsServing(t *testing.T) {
-	m := settled(t)
+func TestUnresponsiveEngineStopsServing(t *testing.T) {
+	m := servingV1(t)
 	lost := errors.New("connection refused")
 	for range maxQueryFailures - 1 {
 		m.Step(start, Tick{})
@@ -103,7 +103,7 @@
 	require.Contains(t, m.Step(start, EngineReported{ID: m.queryID, Err: lost}), Action(StopServing{}))
 }
 
-func TestUnfencedEngineIsLeftAloneAfterAnUncertainEnd(t *testing.T) {
+func TestUnfencedEngineWaitsOutAPossibleLateOrder(t *testing.T) {
 	cfg := Config{OrderTimeout: time.Minute}
 	for name, journal := range map[string]*Journal{"no journal": nil, "pending order": {Fence: 1, Pending: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -121,86 +121,86 @@
 	}
 }
 
-// world is a fake engine with orders under way, and the machine of the agent
-// beside it, which may be restarted with or without its journal.
-type world struct {
+// simulation is a fake engine, the orders in flight to it, and the machine of
+// its agent, which may be restarted with or without its journal.
+type simulation struct {
 	cfg     Config
 	now     time.Time
 	m       *Machine
 	journal *Journal
 	engine  engine.State
-	// orders under way reach the engine late, yet within the order timeout.
-	orders  []lateOrder
+	// orders in flight reach the engine late, but within the order timeout.
+	orders  []orderInFlight
 	fence   uint64
 	current inventory.Assignment
 	drained bool
 	// reply is the answer to the current order, if one is due.
 	reply *OrderDone
-	// queries under way, with the engine's state at the time it answered.
+	// queries in flight, with the engine's state at the time it answered.
 	queries []EngineReported
 }
 
-type lateOrder struct {
+type orderInFlight struct {
 	load   engine.LoadOrder
 	by     time.Time
 	answer bool
 }
 
-func (w *world) step(event Event) {
-	for _, action := range w.m.Step(w.now, event) {
+func (s *simulation) step(event Event) {
+	for _, action := range s.m.Step(s.now, event) {
 		switch act := action.(type) {
 		case StopServing:
-			w.drained = true
+			s.drained = true
 		case WriteJournal:
 			j := act.Journal
-			w.journal = &j
+			s.journal = &j
 		case Load:
-			w.orders = append(w.orders, lateOrder{load: act.Order, by: w.now.Add(w.cfg.OrderTimeout), answer: true})
+			s.orders = append(s.orders, orderInFlight{load: act.Order, by: s.now.Add(s.cfg.OrderTimeout), answer: true})
 		case Unload:
 			order := engine.LoadOrder{Fence: act.Fence}
-			w.orders = append(w.orders, lateOrder{load: order, by: w.now.Add(w.cfg.OrderTimeout), answer: true})
+			s.orders = append(s.orders, orderInFlight{load: order, by: s.now.Add(s.cfg.OrderTimeout), answer: true})
 		case QueryEngine:
-			w.queries = append(w.queries, EngineReported{ID: act.ID})
+			s.queries = append(s.queries, EngineReported{ID: act.ID})
 		}
 	}
 }
 
-// deliver lets the engine carry out order i.
-func (w *world) deliver(i int) {
-	order := w.orders[i]
-	w.orders = append(w.orders[:i:i], w.orders[i+1:]...)
+// deliver makes the engine carry out order i.
+func (s *simulation) deliver(i int) {
+	order := s.orders[i]
+	s.orders = append(s.orders[:i:i], s.orders[i+1:]...)
 	var err error
 	switch {
-	case w.cfg.ChecksFencing && order.load.Fence < w.engine.Fence:
-		err = &engine.StaleFenceError{Ordered: order.load.Fence, Current: w.engine.Fence}
+	case s.cfg.ChecksFencing && order.load.Fence < s.engine.Fence:
+		err = &engine.StaleFenceError{Ordered: order.load.Fence, Current: s.engine.Fence}
 	case order.load.Model == "":
-		w.engine = engine.State{State: engine.StateEmpty, Fence: order.load.Fence}
+		s.engine = engine.State{State: engine.StateEmpty, Fence: order.load.Fence}
 	default:
-		w.engine = live(Ref{Model: order.load.Model, Version: order.load.Version})
-		w.engine.Fence = order.load.Fence
+		s.engine = live(Ref{Model: order.load.Model, Version: order.load.Version})
+		s.engine.Fence = order.load.Fence
 	}
 	if order.answer {
-		w.reply = &OrderDone{Err: err}
+		s.reply = &OrderDone{Err: err}
 	}
 }
 
-// loseAnswers makes the agent give up on its order, which stays under way.
-func (w *world) loseAnswers() {
-	for i := range w.orders {
-		w.orders[i].answer = false
+// loseAnswers makes the agent give up on its order, which stays in flight.
+func (s *simulation) loseAnswers() {
+	for i := range s.orders {
+		s.orders[i].answer = false
 	}
 }
 
-func (w *world) restart() {
-	w.loseAnswers()
-	w.reply, w.queries, w.drained = nil, nil, false
-	w.m = New(w.cfg, w.journal, w.now)
-	w.step(allStaged())
-	w.step(Assigned{w.current})
+func (s *simulation) restart() {
+	s.loseAnswers()
+	s.reply, s.queries, s.drained = nil, nil, false
+	s.m = New(s.cfg, s.journal, s.now)
+	s.step(allStaged())
+	s.step(Assigned{s.current})
 }
 
 func TestAnswerToAQueryFromBeforeAnOrderIsIgnored(t *testing.T) {
-	m := settled(t)
+	m := servingV1(t)
 	m.Step(start, Tick{})
 	old := EngineReported{ID: m.queryID, State: live(v1)}
 	m.Step(start, Assigned{assignment(2, v2)})
@@ -211,7 +211,7 @@
 	require.Equal(t, Ref{}, m.Serving(), "the engine holds v2 by now")
 }
 
-func TestFirstAssignmentOfANewVMNeedsNoQuarantine(t *testing.T) {
+func TestFirstAssignmentOfANewVMNeedsNoWait(t *testing.T) {
 	first := assignment(3, v1)
 	first.First = true
 	m := New(Config{}, nil, start)
@@ -230,9 +230,10 @@
 	require.False(t, ordering, "this VM's own journal knows of an order")
 }
 
-// TestQuarantineOutlastsTheFirstAssignment covers a new VM whose agent lost
-// its scratch folder with an order under way: the next assignment waits.
-func TestQuarantineOutlastsTheFirstAssignment(t *testing.T) {
+// TestSecondAssignmentWaitsForAPossibleLateOrder covers a new VM whose agent lost its
+// scratch directory while an order was in flight: the second assignment must
+// wait until that order can no longer take effect.
+func TestSecondAssignmentWaitsForAPossibleLateOrder(t *testing.T) {
 	first := assignment(3, v1)
 	first.First = true
 	m := New(Config{OrderTimeout: time.Minute}, nil, start)
@@ -248,79 +249,79 @@
 	require.False(t, ordering, "the lost order for v1 may come after one for v2")
 }
 
-// TestNeverServesOtherWeightsThanTheEngineHolds runs generated schedules of
+// TestNeverServesOtherWeightsThanTheEngineHasLoaded runs generated schedules of
 // late orders, lost answers, restarts and new assignments against engines of
 // both kinds.
-func TestNeverServesOtherWeightsThanTheEngineHolds(t *testing.T) {
+func TestNeverServesOtherWeightsThanTheEngineHasLoaded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{now: start, engine: engine.State{State: engine.StateEmpty}}
-		w.cfg = Config{ChecksFencing: rapid.Bool().Draw(t, "checks"), OrderTimeout: time.Minute}.WithDefaults()
-		w.restart()
+		s := &simulation{now: start, engine: engine.State{State: engine.StateEmpty}}
+		s.cfg = Config{ChecksFencing: rapid.Bool().Draw(t, "checks"), OrderTimeout: time.Minute}.WithDefaults()
+		s.restart()
 		check := func() {
-			if serving := w.m.Serving(); serving != (Ref{}) {
-				require.Equal(t, engine.StateLive, w.engine.State)
-				require.Equal(t, serving, Ref{Model: w.engine.Model, Version: w.engine.Version})
+			if serving := s.m.Serving(); serving != (Ref{}) {
+				require.Equal(t, engine.StateLive, s.engine.State)
+				require.Equal(t, serving, Ref{Model: s.engine.Model, Version: s.engine.Version})
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(*rapid.T) { check() },
 			"assign": func(t *rapid.T) {
-				w.fence++
-				w.current = assignment(w.fence, rapid.SampledFrom([]Ref{v1, v2, {}}).Draw(t, "ref"))
-				w.current.First = w.fence == 1
-				w.step(Assigned{w.current})
+				s.fence++
+				s.current = assignment(s.fence, rapid.SampledFrom([]Ref{v1, v2, {}}).Draw(t, "ref"))
+				s.current.First = s.fence == 1
+				s.step(Assigned{s.current})
 			},
 			"drain": func(*rapid.T) {
-				if w.drained {
-					w.drained = false
-					w.step(Drained{})
+				if s.drained {
+					s.drained = false
+					s.step(Drained{})
 				}
 			},
 			"deliver": func(t *rapid.T) {
-				if len(w.orders) > 0 {
-					w.deliver(rapid.IntRange(0, len(w.orders)-1).Draw(t, "order"))
+				if len(s.orders) > 0 {
+					s.deliver(rapid.IntRange(0, len(s.orders)-1).Draw(t, "order"))
 				}
 			},
 			"reply": func(*rapid.T) {
-				if w.reply != nil {
-					reply := *w.reply
-					w.reply = nil
-					w.step(reply)
+				if s.reply != nil {
+					reply := *s.reply
+					s.reply = nil
+					s.step(reply)
 				}
 			},
 			"lose answer": func(*rapid.T) {
-				if w.reply == nil {
-					w.loseAnswers()
-					w.step(OrderDone{Err: errors.New("timeout")})
+				if s.reply == nil {
+					s.loseAnswers()
+					s.step(OrderDone{Err: errors.New("timeout")})
 				}
 			},
 			"engine answers query": func(*rapid.T) {
-				for i := range w.queries {
-					if w.queries[i].State.State == "" {
-						w.queries[i].State = w.engine
+				for i := range s.queries {
+					if s.queries[i].State.State == "" {
+						s.queries[i].State = s.engine
 					}
 				}
 			},
 			"report": func(*rapid.T) {
-				if len(w.queries) > 0 && w.queries[0].State.State != "" {
-					report := w.queries[0]
-					w.queries = w.queries[1:]
-					w.step(report)
+				if len(s.queries) > 0 && s.queries[0].State.State != "" {
+					report := s.queries[0]
+					s.queries = s.queries[1:]
+					s.step(report)
 				}
 			},
 			"tick": func(t *rapid.T) {
-				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 70).Draw(t, "seconds")) * time.Second)
-				for i := len(w.orders) - 1; i >= 0; i-- {
-					if !w.now.Before(w.orders[i].by) {
-						w.deliver(i)
+				s.now = s.now.Add(time.Duration(rapid.IntRange(1, 70).Draw(t, "seconds")) * time.Second)
+				for i := len(s.orders) - 1; i >= 0; i-- {
+					if !s.now.Before(s.orders[i].by) {
+						s.deliver(i)
 					}
 				}
-				w.step(Tick{})
+				s.step(Tick{})
 			},
-			"restart": func(*rapid.T) { w.restart() },
+			"restart": func(*rapid.T) { s.restart() },
 			"wipe and restart": func(*rapid.T) {
-				w.journal = nil
-				w.restart()
+				s.journal = nil
+				s.restart()
 			},
 		})
 	})
