--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -10,10 +10,10 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// maxHeldBytes is the largest answer held back until its end mark was
-// checked. A larger one is passed on while it arrives; if it is cut then, the
-// connection to the caller is broken off.
-const maxHeldBytes = 1 << 20
+// maxBufferedBytes is the largest answer that is buffered until its end frame
+// has been checked. A larger one is passed on as it arrives; if it is truncated
+// then, the connection to the caller is aborted.
+const maxBufferedBytes = 1 << 20
 
 var (
 	eventEnd = []byte("\n\n")
@@ -21,8 +21,9 @@
 	dataLine = []byte("data:")
 )
 
-// answer passes the answer of a backend server on to the caller. A whole one
-// is held until it was checked; an event stream is passed on event by event.
+// answer passes the answer of a backend server on to the caller. It buffers an
+// answer of up to maxBufferedBytes until its end frame has been checked, and
+// passes an event stream on event by event.
 type answer struct {
 	w http.ResponseWriter
 
@@ -30,27 +31,29 @@
 	headers []*rpc.Header
 	// events is true for an event stream.
 	events bool
-	// sent is true once the caller has received a part of the answer.
-	sent bool
-	held bytes.Buffer
-	// tokens counts the data events passed on, to resume after them.
+	// sent is true once a part of the answer has been sent to the caller.
+	sent   bool
+	buffer bytes.Buffer
+	// tokens counts the data events passed on, after which a retry resumes.
 	tokens int
-	// done is true when the stream's own last event has arrived.
-	done bool
-	// hold keeps an event stream back too, until its end mark was checked.
-	hold bool
-	// repeated is true when no backend server was asked, since the call's key
-	// had been claimed before.
+	// finalEvent is true once the final event of the stream ([DONE]) has arrived.
+	finalEvent bool
+	// bufferEvents is true if an event stream, too, is buffered until its end
+	// frame has been checked.
+	bufferEvents bool
+	// repeated is true if the call was not dispatched because its key had
+	// already been claimed.
 	repeated bool
-	// version is the model version that answers; a resumed stream keeps it.
+	// version is the model version of the latest attempt; a stream is resumed on
+	// the same version.
 	version string
-	// firstSent is called before the first byte goes to the caller.
+	// firstSent is called before the first byte is sent to the caller.
 	firstSent func()
 }
 
-// head takes over status and headers of an attempt's answer. Those of an
-// attempt that resumes a stream are dropped.
-func (a *answer) head(status uint32, headers []*rpc.Header) {
+// setHead sets the status and headers of the answer. Those of an attempt that
+// resumes a stream are ignored.
+func (a *answer) setHead(status uint32, headers []*rpc.Header) {
 	if a.sent {
 		return
 	}
@@ -64,41 +67,41 @@
 	}
 }
 
-// data takes over a piece of the answer. An error means that the caller is
-// gone.
-func (a *answer) data(piece []byte) error {
-	a.held.Write(piece)
-	if a.events && !a.hold {
-		return a.passEvents()
+// write adds a piece of the answer. An error means that the caller has
+// disconnected.
+func (a *answer) write(piece []byte) error {
+	a.buffer.Write(piece)
+	if a.events && !a.bufferEvents {
+		return a.sendEvents()
 	}
-	if a.held.Len() > maxHeldBytes {
+	if a.buffer.Len() > maxBufferedBytes {
 		return a.flush()
 	}
 	return nil
 }
 
-// passEvents passes on all complete events held, but not the stream's own
-// last one: that follows once the end mark was checked.
-func (a *answer) passEvents() error {
-	if a.done {
+// sendEvents passes on all complete buffered events except the final one of the
+// stream, which is sent only after the end frame has been checked.
+func (a *answer) sendEvents() error {
+	if a.finalEvent {
 		return nil
 	}
-	held := a.held.Bytes()
-	end := bytes.LastIndex(held, eventEnd) + len(eventEnd)
+	buffered := a.buffer.Bytes()
+	end := bytes.LastIndex(buffered, eventEnd) + len(eventEnd)
 	if end < len(eventEnd) {
 		return nil
 	}
-	if last := bytes.Index(held[:end], doneLine); last >= 0 {
-		a.done = true
+	if last := bytes.Index(buffered[:end], doneLine); last >= 0 {
+		a.finalEvent = true
 		end = last
 	}
 	if end == 0 {
 		return nil
 	}
-	return a.pass(a.held.Next(end))
+	return a.send(a.buffer.Next(end))
 }
 
-func (a *answer) pass(events []byte) error {
+func (a *answer) send(events []byte) error {
 	a.tokens += countEvents(events)
 	a.writeHead()
 	if _, err := a.w.Write(events); err != nil {
@@ -122,10 +125,10 @@
 	return n
 }
 
-// flush passes on everything held.
+// flush passes on everything buffered.
 func (a *answer) flush() error {
 	a.writeHead()
-	_, err := a.held.WriteTo(a.w)
+	_, err := a.buffer.WriteTo(a.w)
 	return err
 }
 
@@ -144,27 +147,29 @@
 	a.w.WriteHeader(a.status)
 }
 
-// end completes the answer after its end mark was checked.
-func (a *answer) end() error {
+// complete sends the rest of the answer after its end frame has been checked.
+func (a *answer) complete() error {
 	if !a.sent && !a.events {
-		a.w.Header().Set("Content-Length", strconv.Itoa(a.held.Len()))
+		a.w.Header().Set("Content-Length", strconv.Itoa(a.buffer.Len()))
 	}
 	return a.flush()
 }
 
-// restart drops what an attempt left unsent, so that another may follow.
-func (a *answer) restart() {
-	a.held.Reset()
-	a.done = false
+// discardUnsent discards the unsent part of a failed attempt's answer before a
+// retry.
+func (a *answer) discardUnsent() {
+	a.buffer.Reset()
+	a.finalEvent = false
 }
 
-// resumable reports whether another replica of the same version can go on
-// where the caller's part of the answer ends.
+// resumable reports whether another replica of the same version can resume the
+// answer after the part that the caller has received.
 func (a *answer) resumable() bool { return a.events }
 
-// cut ends a partly sent answer so that the caller cannot take it for whole:
-// an event stream gets an error event, and the connection is broken off.
-func (a *answer) cut(o outcome.Outcome) {
+// abort ends a partly sent answer so that the caller cannot mistake it for a
+// complete one: it sends an error event on an event stream, and closes the
+// connection without terminating the body.
+func (a *answer) abort(o outcome.Outcome) {
 	if a.events {
 		_, _ = a.w.Write(o.Event())
 		_ = http.NewResponseController(a.w).Flush()
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -15,21 +15,23 @@
 	"lynxgate.dev/lynxgate/internal/rpcconn"
 )
 
-// headerResume tells an engine after how many tokens to go on.
+// headerResume is the number of tokens after which an engine resumes an answer.
 const headerResume = "X-Resume-Tokens"
 
 const (
-	// noBackendRetry is the advice when no backend server is live.
-	noBackendRetry = 2 * time.Second
-	// overloadedRetry is the advice when all are full for the moment.
-	overloadedRetry = 500 * time.Millisecond
-	// fullWait is how long a started request waits for a slot, which it looks
-	// for every fullPoll.
-	fullWait = 250 * time.Millisecond
-	fullPoll = 5 * time.Millisecond
+	// noBackendRetryAfter is the Retry-After of answers when no backend server is
+	// live.
+	noBackendRetryAfter = 2 * time.Second
+	// overloadedRetryAfter is the Retry-After of answers when no backend server has
+	// a free slot.
+	overloadedRetryAfter = 500 * time.Millisecond
+	// slotWait is how long an admitted request waits for a free slot; it polls
+	// for one every slotPoll.
+	slotWait = 250 * time.Millisecond
+	slotPoll = 5 * time.Millisecond
 )
 
-// errCallerGone says that the caller no longer takes the answer.
+// errCallerGone means that the answer could not be written to the caller.
 var errCallerGone = errors.New("caller is gone")
 
 // attempt is one dispatch of a call to one backend server.
@@ -39,8 +41,8 @@
 	id     string
 	answer *answer
 	target routing.Choice
-	// started and firstToken time the attempt; firstToken is 0 before any
-	// part of the answer has come.
+	// started is the start of the attempt, and firstToken the time from it to
+	// the first part of the answer, or 0 before that part has arrived.
 	started    time.Time
 	firstToken time.Duration
 }
@@ -49,15 +51,15 @@
 	return &attempt{entry: e, call: c, answer: a, id: fmt.Sprintf("%s/%d", c.id, number)}
 }
 
-// start picks a backend server that is not excluded, dispatches the call to
-// it and tells the routing table how that ended. A stream that the caller has
-// a part of is only resumed on the same version.
+// start picks a backend server that is not excluded, dispatches the call to it
+// and reports the result to the routing table. A stream that has been partly
+// sent to the caller is resumed only on the same version.
 func (t *attempt) start(ctx context.Context, excluded []string) outcome.Outcome {
 	request := routing.Request{
 		Service:  t.call.service.Name,
 		Model:    t.call.service.Model,
 		Prefix:   t.call.prefixHash,
-		Whole:    t.call.whole(),
+		Whole:    t.call.unstreamed(),
 		Excluded: excluded,
 	}
 	if t.answer.sent {
@@ -70,48 +72,50 @@
 	}
 	t.target = target
 	t.answer.version = target.Version
-	end := t.run(ctx)
-	t.entry.router.step(context.WithoutCancel(ctx), t.ended(end))
-	return end
+	o := t.run(ctx)
+	t.entry.router.step(context.WithoutCancel(ctx), t.event(o))
+	return o
 }
 
-// acquire picks a backend server. Admission counts slots a little behind the
-// routing table, so a request whose turn has come waits a moment for a slot
-// that is about to come free, rather than be refused.
+// acquire picks a backend server and takes a slot. Admission's count of slots
+// lags slightly behind the routing table, so an admitted request that finds no
+// free slot waits briefly for one instead of being refused.
 func (t *attempt) acquire(ctx context.Context, request routing.Request) (routing.Choice, routing.Reason) {
 	for {
 		now := time.Now()
 		target, reason := t.entry.router.table.Acquire(now, t.id, request)
-		if reason != routing.ReasonFull || now.Sub(t.started) >= fullWait || ctx.Err() != nil {
+		if reason != routing.ReasonFull || now.Sub(t.started) >= slotWait || ctx.Err() != nil {
 			t.started = now
 			return target, reason
 		}
-		pause.For(ctx, fullPoll)
+		pause.For(ctx, slotPoll)
 	}
 }
 
-// notPicked tells why no backend server could take the call.
+// notPicked returns the outcome of a call for which no backend server was
+// picked.
 func notPicked(reason routing.Reason) outcome.Outcome {
 	switch reason {
 	case routing.ReasonFull, routing.ReasonAllAside, routing.ReasonAllExcluded:
-		return outcome.Not(outcome.Overloaded, string(reason), overloadedRetry)
+		return outcome.Not(outcome.Overloaded, string(reason), overloadedRetryAfter)
 	case routing.ReasonAllLeaving:
-		return outcome.Not(outcome.Leaving, string(reason), noBackendRetry)
+		return outcome.Not(outcome.Leaving, string(reason), noBackendRetryAfter)
 	}
-	return outcome.Not(outcome.NoBackend, string(reason), noBackendRetry)
+	return outcome.Not(outcome.NoBackend, string(reason), noBackendRetryAfter)
 }
 
-// ended is what the routing table learns of the attempt.
-func (t *attempt) ended(end outcome.Outcome) routing.Event {
-	if end.Kind == outcome.NotRun {
+// event returns the event that reports the attempt's result to the routing
+// table.
+func (t *attempt) event(o outcome.Outcome) routing.Event {
+	if o.Kind == outcome.NotRun {
 		version := routing.Version{Model: t.call.service.Model, Version: t.target.Version}
-		return routing.NotRun{VM: t.target.VM, ID: t.id, Reason: notRunReason(end.Reason), Version: version}
+		return routing.NotRun{VM: t.target.VM, ID: t.id, Reason: notRunReason(o.Reason), Version: version}
 	}
 	result := routing.Failed
 	switch {
-	case end.Kind == outcome.Completed:
+	case o.Kind == outcome.Completed:
 		result = routing.Completed
-	case end.Reason == outcome.Cancelled:
+	case o.Reason == outcome.Cancelled:
 		result = routing.Cancelled
 	}
 	return routing.Finished{
@@ -135,7 +139,7 @@
 	return routing.NotRunUnreachable
 }
 
-// run dispatches the call and passes the answer on until it ends.
+// run dispatches the call and passes its answer on.
 func (t *attempt) run(ctx context.Context) outcome.Outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -146,23 +150,23 @@
 	defer conn.Close()
 	stream, err := rpc.NewDRPCDispatchClient(conn).Run(ctx, t.request())
 	if err != nil {
-		return lost(ctx, err)
+		return connectionOutcome(ctx, err)
 	}
 	defer stream.Close()
 	return t.receive(ctx, stream)
 }
 
-// receive assembles the answer from its frames.
+// receive assembles the answer from its frames and passes it on.
 func (t *attempt) receive(ctx context.Context, stream rpc.DRPCDispatch_RunClient) outcome.Outcome {
 	assembler := frames.NewAssembler(frames.DefaultConfig, t.id)
 	for {
 		frame, err := stream.Recv()
 		if err != nil {
-			o := lost(ctx, err)
+			o := connectionOutcome(ctx, err)
 			return assembler.Cut(o.Reason, o.Detail).Outcome
 		}
 		if frame.InFlight > 0 {
-			t.entry.router.counted(ctx, t.target.VM, int(frame.InFlight))
+			t.entry.router.noteInFlight(ctx, t.target.VM, int(frame.InFlight))
 		}
 		result := assembler.Step(frame)
 		if err := t.pass(ctx, result); err != nil {
@@ -198,32 +202,34 @@
 
 func (t *attempt) pass(ctx context.Context, result frames.Result) error {
 	if result.Head != nil {
-		t.answer.head(result.Head.Status, result.Head.Headers)
+		t.answer.setHead(result.Head.Status, result.Head.Headers)
 	}
 	if len(result.Data) > 0 && t.firstToken == 0 {
-		t.begun(ctx)
+		t.noteFirstToken(ctx)
 	}
 	for _, piece := range result.Data {
-		if err := t.answer.data(piece); err != nil {
+		if err := t.answer.write(piece); err != nil {
 			return fmt.Errorf("%w: %w", errCallerGone, err)
 		}
 	}
 	return nil
 }
 
-// begun notes the time to the first part of the answer. The routing table
-// learns it at once: a long stream must not look like a stalled request.
-func (t *attempt) begun(ctx context.Context) {
+// noteFirstToken records the time to the first part of the answer. That of a
+// stream is reported to the routing table at once, so that a long stream does
+// not look like a stalled request.
+func (t *attempt) noteFirstToken(ctx context.Context) {
 	t.firstToken = time.Since(t.started)
-	if t.call.whole() {
+	if t.call.unstreamed() {
 		return
 	}
 	t.entry.router.step(ctx, routing.FirstToken{VM: t.target.VM, ID: t.id, Elapsed: t.firstToken})
 }
 
-// lost tells what an error of the connection to the agent means: the request
-// certainly did not run only if the connection could not be made.
-func lost(ctx context.Context, err error) outcome.Outcome {
+// connectionOutcome returns the outcome of an attempt after an error of the
+// connection to the agent. Only if connecting failed is it certain that the
+// request did not run.
+func connectionOutcome(ctx context.Context, err error) outcome.Outcome {
 	var dial *rpcconn.DialError
 	switch {
 	case errors.As(err, &dial):
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -24,9 +24,11 @@
 const (
 	// HeaderIdempotencyKey names a request that must run at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderDeadline gives the milliseconds the caller waits for the answer.
+	// HeaderDeadline is how long the caller waits for the answer, in
+	// milliseconds.
 	HeaderDeadline = "X-Deadline-Ms"
-	// HeaderRequestID is echoed on answers; one is made where it is missing.
+	// HeaderRequestID is returned with the answer; the entry generates an id if
+	// the caller sends none.
 	HeaderRequestID = "X-Request-Id"
 )
 
@@ -35,13 +37,14 @@
 	maxNameBytes = 255
 	// maxDeadline bounds the deadline of a request.
 	maxDeadline = time.Hour
-	// prefixBytes of a prompt decide which server may have it cached.
+	// prefixBytes is how much of a prompt is hashed to find a backend server
+	// that may have it cached, if the prompt has no complete block.
 	prefixBytes = 256
 
 	servicesPrefix = "/services/"
 )
 
-// call is one request of a caller, checked and resolved.
+// call is a caller's request, validated and resolved against the configuration.
 type call struct {
 	id           string
 	organisation inventory.Organisation
@@ -60,8 +63,8 @@
 	tokens int
 }
 
-// idempotent reports whether the system may run the call again after an
-// unknown outcome. Completions have no effect but their answer.
+// idempotent reports whether the call may be retried after an unknown outcome.
+// Completions may: they have no effect other than their answer.
 func (c *call) idempotent() bool {
 	if c.rule.AtMostOnce {
 		return false
@@ -69,14 +72,14 @@
 	return c.rule.Idempotent || c.service.Kind == inventory.KindModel
 }
 
-// whole reports whether the answer comes in one piece: a completion that is
-// not streamed begins when it is done, so that the time to its first byte says
-// nothing of the backend server.
-func (c *call) whole() bool {
+// unstreamed reports whether the call is a completion that is not streamed. Its
+// answer begins only when it is complete, so the time to its first byte does
+// not measure the latency of the backend server.
+func (c *call) unstreamed() bool {
 	return c.service.Kind == inventory.KindModel && !c.stream
 }
 
-// refusal is a request that is refused before anything is dispatched.
+// refusal is the error for a request that is refused before any dispatch.
 type refusal struct{ outcome outcome.Outcome }
 
 func (e *refusal) Error() string { return e.outcome.String() }
@@ -85,7 +88,7 @@
 	return &refusal{outcome.Not(reason, fmt.Sprintf(format, args...), 0)}
 }
 
-// resolve checks a request against the configuration in force.
+// resolve validates a request against the configuration in force.
 func (e *Entry) resolve(r *http.Request) (*call, error) {
 	cat := e.catalog.Load()
 	c := &call{id: requestID(r), method: r.Method}
@@ -194,8 +197,9 @@
 	return nil
 }
 
-// prefixHash names the prompt's prefix as engines do in their cache events. A
-// prompt without a whole block, or of another shape, goes by its first bytes.
+// prefixHash identifies the prompt's prefix as engines do in their cache events.
+// For a prompt without a complete block, or in another format, it hashes the
+// first prefixBytes.
 func prefixHash(messages, prompt json.RawMessage) uint64 {
 	if hash := engine.PrefixHash(promptText(messages, prompt)); hash != 0 {
 		return hash
@@ -209,8 +213,8 @@
 	return h.Sum64()
 }
 
-// promptText returns the prompt of a request as engines read it, or "" if it
-// has another shape than messages with text or one text.
+// promptText returns the prompt of a request as engines read it, or "" if it is
+// neither a list of text messages nor a single text.
 func promptText(messages, prompt json.RawMessage) string {
 	var text string
 	var chat []engine.Message
@@ -250,8 +254,8 @@
 	return nil
 }
 
-// maxDeadline is the longest a caller may wait. A call that runs at most once
-// must end before its claim does: afterwards the key could be used again.
+// maxDeadline is the longest deadline of a call. A call that runs at most once
+// must end before its claim expires, after which the key could be used again.
 func (c *call) maxDeadline() time.Duration {
 	if c.rule.AtMostOnce {
 		return claims.DefaultLimits.MaxTimeout - claimMargin
@@ -259,7 +263,7 @@
 	return maxDeadline
 }
 
-// withheldHeaders are for the entry alone.
+// withheldHeaders are for the entry only and are not passed on.
 var withheldHeaders = map[string]bool{
 	"Authorization": true, "Cookie": true, "Accept-Encoding": true, "Host": true, "Expect": true,
 	HeaderDeadline: true, HeaderRequestID: true, "X-Priority": true,
--- a/internal/entry/capacity.go
+++ b/internal/entry/capacity.go
@@ -9,55 +9,56 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// capacityInterval is the least time between two updates of the capacity for
-// agents' counts.
+// capacityInterval is the least time between two updates of the capacity that
+// are caused by agents' request counts.
 const capacityInterval = 5 * time.Millisecond
 
-// updateCapacity tells admission how many more requests may run now; only a
+// updateCapacity sets how many more requests admission may let run now. Only a
 // service without any usable backend server has no capacity at all.
 //
-// Entries before the same backend servers share them without talking to each
-// other: one with a queue asks for a slot more than it sees free, and when
-// there are too many requests, each gives up slots in proportion to its own.
-// So the parts of entries that all have a queue grow equal.
+// Entries share the same backend servers without communicating: an entry with
+// queued requests claims one slot more than it sees free, and if there are too
+// many requests, each entry gives up slots in proportion to those it uses. So
+// the shares of all entries that have a queue converge.
 func (r *router) updateCapacity() {
 	view := r.table.View()
 	now := time.Now()
 	for _, service := range r.entry.catalog.Load().services {
-		room := view.Room(now, routing.Request{Service: service.Name, Model: service.Model})
-		if room.Servers == 0 {
+		capacity := view.Room(now, routing.Request{Service: service.Name, Model: service.Model})
+		if capacity.Servers == 0 {
 			r.entry.admission.SetCapacity(service.Name, 0)
 			continue
 		}
-		free := room.Free
-		if room.Own < room.Slots && r.entry.admission.Status(service.Name).Queued > 0 {
+		free := capacity.Free
+		if capacity.Own < capacity.Slots && r.entry.admission.Status(service.Name).Queued > 0 {
 			free++
 		}
 		r.entry.admission.SetFree(service.Name, free)
 	}
-	r.noteSettled()
+	r.noteReports()
 }
 
-// counted takes over an agent's count of requests that came with an answer.
-func (r *router) counted(ctx context.Context, vm string, inFlight int) {
+// noteInFlight applies an agent's count of its requests in flight, which is sent
+// with the frames of an answer.
+func (r *router) noteInFlight(ctx context.Context, vm string, inFlight int) {
 	now := time.Now()
 	r.step(ctx, routing.Counted{VM: vm, InFlight: inFlight})
-	last := r.countedAt.Load()
-	if now.UnixNano()-last >= int64(capacityInterval) && r.countedAt.CompareAndSwap(last, now.UnixNano()) {
+	last := r.lastCountUpdate.Load()
+	if now.UnixNano()-last >= int64(capacityInterval) && r.lastCountUpdate.CompareAndSwap(last, now.UnixNano()) {
 		r.wakeCapacity()
 	}
 }
 
-// noteSettled closes settled when that has come about. It is called after the
-// capacity was updated, so that admission knows it too.
-func (r *router) noteSettled() {
-	if r.unheard.Load() > 0 || r.entry.catalog.Load().revision == 0 {
+// noteReports closes allReported if its condition is met. It is called after an
+// update of the capacity, so that admission knows the capacity by then.
+func (r *router) noteReports() {
+	if r.unreported.Load() > 0 || r.entry.catalog.Load().revision == 0 {
 		return
 	}
 	select {
-	case <-r.settled:
+	case <-r.allReported:
 	default:
-		close(r.settled)
+		close(r.allReported)
 	}
 }
 
@@ -68,9 +69,9 @@
 	}
 }
 
-// changesCapacity says whether a state differs from the one before in what
-// capacity depends on; of a heartbeat that repeats it, time alone is news, and
-// that is looked at with each tick.
+// changesCapacity reports whether two states differ in a field that capacity
+// depends on. A heartbeat that differs in none only affects the age of the
+// state, which each tick checks.
 func changesCapacity(a, b *rpc.AgentState) bool {
 	sameLive := slices.EqualFunc(a.Live, b.Live, func(x, y *rpc.LiveVersion) bool {
 		return x.Model == y.Model && x.Version == y.Version
--- a/internal/entry/catalog.go
+++ b/internal/entry/catalog.go
@@ -9,15 +9,15 @@
 	"lynxgate.dev/lynxgate/internal/keyspace"
 )
 
-// catalog is what traffic goroutines need of the configuration, built once
-// per revision and never changed afterwards.
+// catalog indexes the configuration for the goroutines that serve requests. It
+// is built once per revision and never changed afterwards.
 type catalog struct {
 	revision      uint64
 	organisations map[string]inventory.Organisation
 	// byKeyHash maps hex SHA-256 digests of API keys to organisations.
 	byKeyHash map[string]string
 	services  map[string]inventory.Service
-	// byModel maps a model to the services that answer with it.
+	// byModel maps a model to the service that answers with it.
 	byModel map[string]string
 	regions map[string]string
 }
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -16,16 +16,18 @@
 )
 
 const (
-	// claimMargin is added to the caller's deadline: a grant must outlive it.
+	// claimMargin is added to the caller's deadline to get the timeout of the
+	// claim, since a grant must outlive the request.
 	claimMargin = 10 * time.Second
-	// claimWait is how long a key is tried to be claimed. It covers the election
-	// of a new control leader; with no quorum for longer the caller is told so
-	// at once rather than at its deadline.
+	// claimWait bounds claiming a key. It covers the election of a new control
+	// leader; without a quorum for longer, the caller is refused then rather than
+	// at its deadline.
 	claimWait = 5 * time.Second
-	// settleTimeout bounds recording an outcome before the caller is answered.
+	// settleTimeout bounds recording the outcome before the caller is answered.
 	settleTimeout = 5 * time.Second
-	// noQuorumRetry is the advice when no quorum can record a claim.
-	noQuorumRetry = 2 * time.Second
+	// noQuorumRetryAfter is the Retry-After of answers when there is no quorum to
+	// record a claim.
+	noQuorumRetryAfter = 2 * time.Second
 )
 
 // serveClaimed answers a call that must run at most once: the key is claimed
@@ -40,16 +42,16 @@
 		a.repeated = true
 		return answerRepeat(resp, a)
 	}
-	a.hold = true
-	end := e.dispatch(ctx, c, a)
-	e.settle(ctx, c, a, resp.Token, end)
-	if end.Kind == outcome.Completed {
-		_ = a.end()
+	a.bufferEvents = true
+	o := e.dispatch(ctx, c, a)
+	e.settle(ctx, c, a, resp.Token, o)
+	if o.Kind == outcome.Completed {
+		_ = a.complete()
 	}
-	return end
+	return o
 }
 
-// claim reserves the key of a call.
+// claim claims the idempotency key of a call with the control servers.
 func (e *Entry) claim(ctx context.Context, c *call) (*rpc.ClaimResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimWait)
 	defer cancel()
@@ -63,17 +65,17 @@
 	})
 }
 
-// claimFailed tells what a claim without an answer means. In no case was the
-// call dispatched.
+// claimFailed returns the outcome of a call whose claim failed or remained
+// unanswered. In either case the call was not dispatched.
 func claimFailed(err error) outcome.Outcome {
 	detail := "no quorum of control servers could record the key"
 	if errors.Is(err, controlclient.ErrResultUnknown) {
 		detail += "; the key may stay reserved for a while"
 	}
-	return outcome.Not(outcome.NoQuorum, detail, noQuorumRetry)
+	return outcome.Not(outcome.NoQuorum, detail, noQuorumRetryAfter)
 }
 
-// answerRepeat answers a call whose key was claimed before.
+// answerRepeat answers a call whose key had already been claimed.
 func answerRepeat(resp *rpc.ClaimResponse, a *answer) outcome.Outcome {
 	after := time.Duration(resp.RetryAfterMs) * time.Millisecond
 	switch resp.Verdict {
@@ -86,7 +88,7 @@
 	case rpc.ClaimVerdict_CLAIM_BODY_MISMATCH:
 		return outcome.Not(outcome.KeyReused, "the key was used with another request", 0)
 	case rpc.ClaimVerdict_CLAIM_FULL:
-		return outcome.Not(outcome.ClaimsFull, "no room to record another key", after)
+		return outcome.Not(outcome.ClaimsFull, "no capacity to record another key", after)
 	}
 	return outcome.May(outcome.ClaimUnknown, "a request with this key may have run; it will not be run again")
 }
@@ -96,19 +98,19 @@
 	if stored == nil || stored.Status == 0 {
 		return outcome.May(outcome.AnswerNotStored, "the request with this key has completed; its answer was too large to keep")
 	}
-	a.head(stored.Status, []*rpc.Header{
+	a.setHead(stored.Status, []*rpc.Header{
 		{Name: "Content-Type", Value: stored.ContentType},
 		{Name: "Idempotent-Replayed", Value: "true"},
 	})
-	a.hold = true
-	_ = a.data(stored.Body)
-	_ = a.end()
+	a.bufferEvents = true
+	_ = a.write(stored.Body)
+	_ = a.complete()
 	return outcome.Done()
 }
 
-// settle records how a claimed call ended. When that fails the claim becomes
-// unknown after its timeout, which keeps the call from running again.
-func (e *Entry) settle(ctx context.Context, c *call, a *answer, token uint64, end outcome.Outcome) {
+// settle records the outcome of a claimed call. If that fails, the claim becomes
+// unknown after its timeout, which prevents the call from running again.
+func (e *Entry) settle(ctx context.Context, c *call, a *answer, token uint64, o outcome.Outcome) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
 	req := &rpc.SettleRequest{
@@ -116,7 +118,7 @@
 		Key:          c.key,
 		Token:        token,
 	}
-	switch end.Kind {
+	switch o.Kind {
 	case outcome.Completed:
 		req.Outcome = rpc.SettleOutcome_SETTLE_COMPLETED
 		req.Answer = a.stored()
@@ -126,11 +128,12 @@
 		req.Outcome = rpc.SettleOutcome_SETTLE_UNKNOWN
 	}
 	if _, err := e.control.Settle(ctx, req); err != nil {
-		e.metrics.unsettled.Inc()
+		e.metrics.unsettledClaims.Inc()
 	}
 }
 
-// digest tells calls with the same key apart.
+// digest identifies the content of a call, to detect another request with the
+// same key.
 func (c *call) digest() []byte {
 	var text bytes.Buffer
 	for _, part := range []string{c.method, c.service.Name, c.path} {
@@ -142,12 +145,13 @@
 	return sum[:]
 }
 
-// stored returns the held answer for keeping it with the claim.
+// stored returns the buffered answer in the form stored with the claim, or nil
+// if it was too large to buffer.
 func (a *answer) stored() *rpc.StoredAnswer {
 	if a.sent {
 		return nil
 	}
-	out := &rpc.StoredAnswer{Status: uint32(a.status), Body: bytes.Clone(a.held.Bytes())}
+	out := &rpc.StoredAnswer{Status: uint32(a.status), Body: bytes.Clone(a.buffer.Bytes())}
 	for _, h := range a.headers {
 		if strings.EqualFold(h.Name, "Content-Type") {
 			out.ContentType = h.Value
--- a/internal/entry/claim_test.go
+++ b/internal/entry/claim_test.go
@@ -34,7 +34,7 @@
 	return errors.New("cut")
 }
 
-// A key that was not granted is never dispatched.
+// A call whose key is not granted is never dispatched.
 func TestUngrantedKeyIsNotDispatched(t *testing.T) {
 	cases := []struct {
 		verdict rpc.ClaimVerdict
@@ -51,7 +51,7 @@
 	for _, c := range cases {
 		t.Run(c.verdict.String(), func(t *testing.T) {
 			agent := &fakeAgent{run: plainAnswer("ran")}
-			b := newBed(t, Config{}, agent)
+			b := newTestbed(t, Config{}, agent)
 			b.control.verdict = c.verdict
 			got := b.call(jobsPath, "job", HeaderIdempotencyKey, "k")
 			require.Equal(t, c.status, got.status)
@@ -68,7 +68,7 @@
 
 func TestNoQuorumRefusesAsNotRun(t *testing.T) {
 	agent := &fakeAgent{run: plainAnswer("ran")}
-	b := newBed(t, Config{}, agent)
+	b := newTestbed(t, Config{}, agent)
 	b.control.claimStatus = rpc.Status_STATUS_NO_QUORUM
 	got := b.call(jobsPath, "job", HeaderIdempotencyKey, "k")
 	require.Equal(t, 503, got.status)
@@ -78,14 +78,14 @@
 	require.Equal(t, 400, b.call(jobsPath, "job").status, "a key is needed")
 }
 
-// Each end of a claimed request is recorded as what it was, and one that may
-// have run is tried once only.
+// The recorded outcome of a claimed request is its actual one, and a request
+// that may have run is not retried.
 func TestOutcomeOfAClaimIsSettled(t *testing.T) {
 	cases := map[string]struct {
-		run    runFunc
-		settle rpc.SettleOutcome
-		status int
-		tries  int
+		run      runFunc
+		settle   rpc.SettleOutcome
+		status   int
+		attempts int
 	}{
 		"completed":     {plainAnswer("ran"), rpc.SettleOutcome_SETTLE_COMPLETED, 200, 1},
 		"not run":       {fails(outcome.Not(outcome.Leaving, "", 0)), rpc.SettleOutcome_SETTLE_NOT_RUN, 503, 2},
@@ -96,10 +96,10 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			first, second := &fakeAgent{run: c.run}, &fakeAgent{run: c.run}
-			b := newBed(t, Config{}, first, second)
+			b := newTestbed(t, Config{}, first, second)
 			got := b.call(jobsPath, "job", HeaderIdempotencyKey, "k")
 			require.Equal(t, c.status, got.status, got.body)
-			require.Len(t, append(first.requests(), second.requests()...), c.tries)
+			require.Len(t, append(first.requests(), second.requests()...), c.attempts)
 			require.Len(t, b.control.settled, 1)
 			require.Equal(t, c.settle, b.control.settled[0].Outcome)
 			require.EqualValues(t, 7, b.control.settled[0].Token)
@@ -107,20 +107,20 @@
 	}
 }
 
-// notRunAfterHead says not run after an answer has begun, as no sound agent
-// does.
+// notRunAfterHead sends a NOT_RUN frame after the head of an answer, which
+// violates the protocol.
 func notRunAfterHead(in *rpc.RunRequest, w *frames.Writer, send func(*rpc.ResponseFrame) error, _ context.Context) error {
 	_ = send(w.Head(200, nil))
 	return send(&rpc.ResponseFrame{RequestId: in.RequestId, Seq: 1, Kind: rpc.FrameKind_FRAME_NOT_RUN, Reason: string(outcome.Leaving)})
 }
 
-// A resend gets the stored answer; another organisation's equal key is
-// another key, and gets nothing of it.
-func TestStoredAnswersStayWithTheirOrganisation(t *testing.T) {
+// A client retry gets the stored answer. The same key of another organisation
+// is a different key and must not return that answer.
+func TestStoredAnswersAreSeparatePerOrganisation(t *testing.T) {
 	agent := &fakeAgent{run: func(in *rpc.RunRequest, w *frames.Writer, send func(*rpc.ResponseFrame) error, ctx context.Context) error {
 		return plainAnswer("for "+in.Organisation)(in, w, send, ctx)
 	}}
-	b := newBed(t, Config{}, agent)
+	b := newTestbed(t, Config{}, agent)
 	require.Equal(t, "for o1", b.call(jobsPath, "job", HeaderIdempotencyKey, "k").body)
 	again := b.call(jobsPath, "job", HeaderIdempotencyKey, "k")
 	require.Equal(t, "for o1", again.body)
@@ -135,11 +135,11 @@
 	require.Equal(t, http.StatusUnauthorized, b.call(jobsPath, "job", HeaderIdempotencyKey, "k", "Authorization", "Bearer no").status)
 }
 
-// The caller gets the answer of a request whose outcome could not be
-// recorded; the claim stays open, so that the key does not run again.
-func TestLostSettleStillAnswers(t *testing.T) {
+// The caller gets the answer of a request whose outcome could not be recorded.
+// The claim stays open, so that the request does not run again.
+func TestAnswerIsSentIfSettleFails(t *testing.T) {
 	agent := &fakeAgent{run: plainAnswer("ran")}
-	b := newBed(t, Config{}, agent)
+	b := newTestbed(t, Config{}, agent)
 	b.control.settleStatus = rpc.Status_STATUS_NO_QUORUM
 	require.Equal(t, "ran", b.call(jobsPath, "job", HeaderIdempotencyKey, "k").body)
 	require.Len(t, agent.requests(), 1)
@@ -147,12 +147,12 @@
 	require.NotZero(t, b.control.claims[0].TimeoutMs)
 }
 
-// Not run is told of an agent that takes no connections, and of what a
-// leaving one refused; the latter is retried elsewhere at once.
-func TestWhatTheSystemRetries(t *testing.T) {
+// The outcome is "not run" for an agent that refuses connections and for a
+// leaving one; the latter case is retried elsewhere at once.
+func TestRetriesByOutcome(t *testing.T) {
 	t.Run("refused connection", func(t *testing.T) {
 		agent := &fakeAgent{run: plainAnswer("ran")}
-		b := newBed(t, Config{}, agent)
+		b := newTestbed(t, Config{}, agent)
 		agent.stop()
 		got := b.call("/services/office/x", "")
 		require.Equal(t, 503, got.status)
@@ -161,21 +161,21 @@
 	t.Run("leaving", func(t *testing.T) {
 		leaving := &fakeAgent{run: fails(outcome.Not(outcome.Leaving, "", 0))}
 		staying := &fakeAgent{run: plainAnswer("ran")}
-		b := newBed(t, Config{RetryBudgetRatio: 0.001}, leaving, staying)
+		b := newTestbed(t, Config{RetryBudgetRatio: 0.001}, leaving, staying)
 		for range 20 {
 			require.Equal(t, "ran", b.call("/services/office/x", "").body)
 		}
-		require.Len(t, leaving.requests(), 1, "a leaving agent is asked no more")
+		require.Len(t, leaving.requests(), 1, "a leaving agent gets no further attempts")
 		_, retries := b.entry.budget("office").Counts(time.Now())
 		require.Zero(t, retries)
 	})
-	for path, tries := range map[string]int{"/services/office/x": 1, "/services/office/read": 2} {
+	for path, attempts := range map[string]int{"/services/office/x": 1, "/services/office/read": 2} {
 		t.Run("cut "+path, func(t *testing.T) {
 			one, two := &fakeAgent{run: cutOff}, &fakeAgent{run: cutOff}
-			got := newBed(t, Config{}, one, two).call(path, "")
+			got := newTestbed(t, Config{}, one, two).call(path, "")
 			require.Equal(t, "unknown", got.kind)
 			require.Equal(t, outcome.ConnectionLost, got.reason)
-			require.Len(t, append(one.requests(), two.requests()...), tries)
+			require.Len(t, append(one.requests(), two.requests()...), attempts)
 		})
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,8 +1,8 @@
-// Package entry takes the callers' requests, decides which backend server
-// runs each, and passes the answer on whole.
+// Package entry accepts the callers' requests, picks the backend server that
+// runs each, and passes the complete answer on.
 //
-// State: the catalog built from the configuration in force, what is known of
-// the backend servers, and the requests in progress; nothing that must
+// State: the catalog built from the configuration in force, the reported state
+// of the backend servers, and the requests in progress; nothing that must
 // survive a restart. Messages: HTTP from callers, rpc.Dispatch to agents,
 // rpc.Control (claims, announcements) to the control servers.
 package entry
@@ -50,22 +50,22 @@
 	ReadHeaderTimeout time.Duration
 	ReadBodyTimeout   time.Duration
 	IdleTimeout       time.Duration
-	// StartWait bounds how long a starting entry waits to hear of its backend
-	// servers before it serves callers; DefaultStartWait unless set.
+	// StartWait bounds how long a starting entry waits for the reports of its
+	// backend servers before it serves callers; DefaultStartWait unless set.
 	StartWait time.Duration
-	// LeaveGrace is how long a leaving entry still takes new requests.
+	// LeaveGrace is how long a leaving entry still accepts new requests.
 	LeaveGrace     time.Duration
 	MaxConnections int
-	// DefaultDeadline holds for requests that name none.
+	// DefaultDeadline applies to requests without a deadline.
 	DefaultDeadline  time.Duration
 	RetryBudgetRatio float64
 	// WatchSubset is how many agents of each service are watched.
 	WatchSubset int
 	// Policy chooses backend servers; routing.Balanced unless set.
 	Policy routing.Policy
-	// QueueLength is the most requests waiting for a backend server.
+	// QueueLength is the limit on requests in the wait queue.
 	QueueLength int
-	// Incarnation rises with every start of the entry.
+	// Incarnation increases with every start of the entry.
 	Incarnation uint64
 	Logger      zerolog.Logger
 	Registerer  prometheus.Registerer
@@ -77,7 +77,8 @@
 // DefaultReadBodyTimeout bounds how long a caller takes to send a request.
 const DefaultReadBodyTimeout = 30 * time.Second
 
-// Feed is the configuration in force here; configfeed.Client implements it.
+// Feed provides the configuration in force at this entry; configfeed.Client
+// implements it.
 type Feed interface {
 	View() *keyspace.View
 	Changed() <-chan struct{}
@@ -137,7 +138,7 @@
 	return e
 }
 
-// Serve works until ctx is done.
+// Serve accepts and serves callers until ctx is done.
 func (e *Entry) Serve(ctx context.Context) error {
 	lis, err := net.Listen("tcp", e.cfg.CallersAddr)
 	if err != nil {
@@ -146,32 +147,33 @@
 	return e.serveOn(ctx, lis)
 }
 
-// serveOn takes callers' connections from lis until ctx is done.
+// serveOn serves the callers that connect to lis until ctx is done.
 func (e *Entry) serveOn(ctx context.Context, lis net.Listener) error {
 	go func() { _ = e.announcer.Run(ctx) }()
 	go e.router.run(ctx)
 	go e.admission.Run(ctx)
 	defer e.pool.Close()
-	e.awaitSettled(ctx)
+	e.awaitReports(ctx)
 	e.serving.Store(true)
 	return e.serveHTTP(ctx, lis)
 }
 
-// awaitSettled lets the first callers wait, connected but not yet served, until
-// the backend servers were heard of, StartWait at most. Otherwise an entry that
-// has just started would refuse them for want of a backend server.
-func (e *Entry) awaitSettled(ctx context.Context) {
+// awaitReports delays the first callers, whose connections wait in the
+// listener's backlog, until each watch of a backend server has received a state
+// or failed, but for StartWait at most. Otherwise an entry that has just started
+// would refuse them because it knows no backend server.
+func (e *Entry) awaitReports(ctx context.Context) {
 	timer := time.NewTimer(e.cfg.StartWait)
 	defer timer.Stop()
 	select {
-	case <-e.router.settled:
+	case <-e.router.allReported:
 	case <-timer.C:
-		e.cfg.Logger.Warn().Msg("serving callers although not all backend servers were heard of")
+		e.cfg.Logger.Warn().Msg("serving callers although not all backend servers have reported")
 	case <-ctx.Done():
 	}
 }
 
-// follow takes over a new configuration for requests to come.
+// follow applies a new configuration to further requests.
 func (e *Entry) follow(view *keyspace.View) {
 	cat := newCatalog(view)
 	e.catalog.Store(cat)
@@ -226,7 +228,7 @@
 	case e.feed.View().Revision() == 0:
 		return "no configuration received yet", false
 	case !e.serving.Load():
-		return "not all backend servers heard of yet", false
+		return "not all backend servers have reported yet", false
 	}
 	return "", true
 }
--- a/internal/entry/flow.go
+++ b/internal/entry/flow.go
@@ -14,9 +14,8 @@
 
 // serve answers one request of a caller.
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request) {
-	// The bound on sending the request must not end a long answer too.
 	if e.catalog.Load().revision == 0 {
-		o := outcome.Not(outcome.NoConfiguration, "this entry has no configuration yet", noBackendRetry)
+		o := outcome.Not(outcome.NoConfiguration, "this entry has no configuration yet", noBackendRetryAfter)
 		e.answerRefusal(w, &refusal{o})
 		return
 	}
@@ -24,20 +23,22 @@
 	_ = conn.SetReadDeadline(time.Now().Add(e.cfg.ReadBodyTimeout))
 	c, err := e.resolve(r)
 	if err != nil {
-		// The bound stays: net/http may still read the rest of the body.
+		// The read deadline stays: net/http may still read the rest of the body.
 		e.answerRefusal(w, err)
 		return
 	}
+	// The read deadline of the request must not abort a long answer.
 	_ = conn.SetReadDeadline(time.Time{})
 	w.Header().Set(HeaderRequestID, c.id)
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
 	a := &answer{w: w}
-	end := e.admit(ctx, c, a)
-	e.finish(c, a, end)
+	o := e.admit(ctx, c, a)
+	e.finish(c, a, o)
 }
 
-// admit waits for the call's turn and runs it, or returns why it did not run.
+// admit waits in the wait queue until the call is admitted, then runs it. It
+// returns the refusal if the call is not admitted.
 func (e *Entry) admit(ctx context.Context, c *call, a *answer) outcome.Outcome {
 	ticket, refused := e.admission.Acquire(ctx, admission.Request{
 		Organisation: c.organisation.Name,
@@ -49,26 +50,26 @@
 	if ticket == nil {
 		return refused
 	}
-	// A repeat or a panic says nothing about the service time.
+	// A repeated call or a panic does not measure the service time.
 	ran := outcome.NotRun
 	defer func() { ticket.Finish(ran, float64(a.tokens)) }()
-	end := e.runCall(ctx, c, a)
+	o := e.runCall(ctx, c, a)
 	if !a.repeated {
-		ran = end.Kind
+		ran = o.Kind
 	}
-	return end
+	return o
 }
 
-// runCall dispatches an admitted call and passes the whole answer on.
+// runCall dispatches an admitted call and passes its complete answer on.
 func (e *Entry) runCall(ctx context.Context, c *call, a *answer) outcome.Outcome {
 	if c.rule.AtMostOnce {
 		return e.serveClaimed(ctx, c, a)
 	}
-	end := e.dispatch(ctx, c, a)
-	if end.Kind == outcome.Completed {
-		_ = a.end()
+	o := e.dispatch(ctx, c, a)
+	if o.Kind == outcome.Completed {
+		_ = a.complete()
 	}
-	return end
+	return o
 }
 
 func (e *Entry) answerRefusal(w http.ResponseWriter, err error) {
@@ -80,19 +81,20 @@
 	_ = refused.outcome.Write(w)
 }
 
-// finish counts the outcome and tells it to the caller if it was no answer.
-func (e *Entry) finish(c *call, a *answer, end outcome.Outcome) {
-	e.metrics.requests.WithLabelValues(c.service.Name, end.Kind.String(), string(end.Reason)).Inc()
+// finish counts the outcome and, unless the call was completed, reports it to
+// the caller.
+func (e *Entry) finish(c *call, a *answer, o outcome.Outcome) {
+	e.metrics.requests.WithLabelValues(c.service.Name, o.Kind.String(), string(o.Reason)).Inc()
 	switch {
-	case end.Kind == outcome.Completed:
+	case o.Kind == outcome.Completed:
 	case a.sent:
-		a.cut(end)
+		a.abort(o)
 	default:
-		_ = end.Write(a.w)
+		_ = o.Write(a.w)
 	}
 }
 
-// dispatch makes attempts until one ends the call.
+// dispatch makes attempts until one completes the call or no retry is allowed.
 func (e *Entry) dispatch(ctx context.Context, c *call, a *answer) outcome.Outcome {
 	budget := e.budget(c.service.Name)
 	budget.Request(time.Now())
@@ -113,7 +115,7 @@
 			return decision.Final
 		}
 		e.metrics.retries.WithLabelValues(c.service.Name, string(o.Reason)).Inc()
-		a.restart()
+		a.discardUnsent()
 		pause.For(ctx, decision.After)
 	}
 }
--- a/internal/entry/guard.go
+++ b/internal/entry/guard.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// errSilent ends an attempt whose backend server is not heard of any more.
+// errSilent is the cause of the cancellation of an attempt whose backend server
+// no longer reports.
 var errSilent = errors.New("the backend server's agent is silent")
 
-// guard ends attempts at backend servers that have fallen silent without a
-// broken connection, as when a VM freezes or a network is cut. Only attempts
-// of idempotent calls are guarded: they can be made again elsewhere, while the
-// others may yet be answered.
+// guard cancels attempts at backend servers whose agents have stopped reporting
+// although the connection is not closed, as when a VM freezes or a network is
+// partitioned. It covers only attempts of idempotent calls: these can be retried
+// elsewhere, while a call of the other kind may still be answered.
 type guard struct {
 	mu sync.Mutex
-	// attempts by VM and attempt id.
+	// attempts holds the cancel functions by VM and attempt id.
 	attempts map[string]map[string]context.CancelCauseFunc
 }
 
@@ -24,7 +25,7 @@
 	return &guard{attempts: map[string]map[string]context.CancelCauseFunc{}}
 }
 
-// add guards an attempt; the returned function ends that.
+// add registers an attempt until the returned function is called.
 func (g *guard) add(vm, id string, cancel context.CancelCauseFunc) (remove func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -44,8 +45,8 @@
 	}
 }
 
-// end ends the guarded attempts at the VMs and returns how many.
-func (g *guard) end(vms []string) int {
+// cancel cancels the registered attempts at the VMs and returns their number.
+func (g *guard) cancel(vms []string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ended := 0
@@ -58,10 +59,11 @@
 	return ended
 }
 
-// endSilent ends idempotent attempts at backend servers that fell silent.
-func (r *router) endSilent() {
+// cancelSilent cancels idempotent attempts at backend servers that have stopped
+// reporting.
+func (r *router) cancelSilent() {
 	silent := r.table.View().Silent(time.Now())
-	if n := r.guard.end(silent); n > 0 {
-		r.entry.metrics.silent.Add(float64(n))
+	if n := r.guard.cancel(silent); n > 0 {
+		r.entry.metrics.silentAttempts.Add(float64(n))
 	}
 }
--- a/internal/entry/leave_test.go
+++ b/internal/entry/leave_test.go
@@ -16,17 +16,16 @@
 	"lynxgate.dev/lynxgate/internal/keyspace"
 )
 
-// emptyFeed holds no configuration and never changes.
+// emptyFeed has no configuration and never changes.
 type emptyFeed struct{}
 
 func (emptyFeed) View() *keyspace.View     { return keyspace.NewView(0, nil) }
 func (emptyFeed) Changed() <-chan struct{} { return nil }
 func (emptyFeed) Unconfirmed() bool        { return true }
 
-// TestKeptConnectionOfALeavingEntry: a request that is on its way on a kept
-// connection while the entry begins to leave is answered, and the answer
-// closes the connection.
-func TestKeptConnectionOfALeavingEntry(t *testing.T) {
+// A request on a keep-alive connection of a leaving entry is answered, and the
+// answer closes the connection.
+func TestLeavingEntryAnswersOnKeepAliveConnection(t *testing.T) {
 	lis := listen(t)
 	e := New(Config{
 		Name: "e", MaxConnections: 10, MaxHeaderBytes: 4096, MaxBodyBytes: 4096,
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -25,7 +25,7 @@
 
 func TestLargeHeadersAndBodiesAreRefused(t *testing.T) {
 	agent := &fakeAgent{run: plainAnswer("ran")}
-	b := newBed(t, Config{MaxBodyBytes: 2000, MaxHeaderBytes: 5000}, agent)
+	b := newTestbed(t, Config{MaxBodyBytes: 2000, MaxHeaderBytes: 5000}, agent)
 	require.Equal(t, "ran", b.call("/services/office/x", strings.Repeat("x", 2000)).body)
 	body := b.call("/services/office/x", strings.Repeat("x", 2001))
 	require.Equal(t, 413, body.status)
@@ -36,10 +36,11 @@
 	require.Len(t, agent.requests(), 1)
 }
 
-// A caller who sends slowly is cut off, whether in the header or in the body.
-func TestSlowCallersAreCutOff(t *testing.T) {
+// The connection of a caller who sends the header or the body too slowly is
+// closed.
+func TestConnectionsOfSlowCallersAreClosed(t *testing.T) {
 	agent := &fakeAgent{run: plainAnswer("ran")}
-	b := newBed(t, Config{ReadHeaderTimeout: 50 * time.Millisecond, ReadBodyTimeout: 50 * time.Millisecond}, agent)
+	b := newTestbed(t, Config{ReadHeaderTimeout: 50 * time.Millisecond, ReadBodyTimeout: 50 * time.Millisecond}, agent)
 	for _, sent := range []string{
 		"POST /services/office/x HTTP/1.1\r\nHost: x\r\n",
 		"POST /services/office/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-o1\r\nContent-Length: 10\r\n\r\npart",
@@ -48,26 +49,26 @@
 		require.NoError(t, err)
 		_, err = conn.Write([]byte(sent))
 		require.NoError(t, err)
-		require.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+		require.NoError(t, conn.SetReadDeadline(time.Now().Add(waitLimit)))
 		answer, err := io.ReadAll(conn)
-		require.NoError(t, err, "the entry holds on to a slow caller")
+		require.NoError(t, err, "the entry keeps the connection of a slow caller")
 		require.NotContains(t, string(answer), "200 OK")
 		require.NoError(t, conn.Close())
 	}
 	require.Empty(t, agent.requests())
 }
 
-// Connections over the limit wait until another one ends.
+// A connection over the limit is served only after another one is closed.
 func TestConnectionLimit(t *testing.T) {
 	agent := &fakeAgent{run: plainAnswer("ran")}
-	b := newBed(t, Config{MaxConnections: 1}, agent)
+	b := newTestbed(t, Config{MaxConnections: 1}, agent)
 	var first net.Conn
 	require.Eventually(t, func() bool {
 		var err error
 		first, err = net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 		return err == nil
-	}, patience, time.Millisecond)
-	// An answer on the first connection shows that it has the only place.
+	}, waitLimit, time.Millisecond)
+	// An answer on the first connection shows that it has been accepted.
 	_, err := first.Write([]byte("GET /none HTTP/1.1\r\nHost: x\r\n\r\n"))
 	require.NoError(t, err)
 	_, err = first.Read(make([]byte, 1))
@@ -83,7 +84,7 @@
 
 func TestTLSBySettings(t *testing.T) {
 	cert, key, pool := writeCertificate(t)
-	b := newBed(t, Config{TLSCert: cert, TLSKey: key}, &fakeAgent{run: plainAnswer("ran")})
+	b := newTestbed(t, Config{TLSCert: cert, TLSKey: key}, &fakeAgent{run: plainAnswer("ran")})
 	require.Equal(t, http.StatusBadRequest, b.call("/services/office/x", "").status, "plain HTTP")
 	b.client = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
 	b.url = strings.Replace(b.url, "http:", "https:", 1)
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -6,11 +6,11 @@
 )
 
 type metrics struct {
-	requests  *prometheus.CounterVec
-	retries   *prometheus.CounterVec
-	aside     *prometheus.CounterVec
-	silent    prometheus.Counter
-	unsettled prometheus.Counter
+	requests        *prometheus.CounterVec
+	retries         *prometheus.CounterVec
+	ejections       *prometheus.CounterVec
+	silentAttempts  prometheus.Counter
+	unsettledClaims prometheus.Counter
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -24,15 +24,15 @@
 			Name: "lynxgate_entry_retries_total",
 			Help: "Attempts after the first, by service and reason of the one before.",
 		}, []string{"service", "reason"}),
-		aside: f.NewCounterVec(prometheus.CounterOpts{
+		ejections: f.NewCounterVec(prometheus.CounterOpts{
 			Name: "lynxgate_entry_servers_set_aside_total",
 			Help: "Backend servers set aside for a while, by cause.",
 		}, []string{"cause"}),
-		silent: f.NewCounter(prometheus.CounterOpts{
+		silentAttempts: f.NewCounter(prometheus.CounterOpts{
 			Name: "lynxgate_entry_silent_attempts_total",
 			Help: "Attempts ended since the backend server's agent fell silent.",
 		}),
-		unsettled: f.NewCounter(prometheus.CounterOpts{
+		unsettledClaims: f.NewCounter(prometheus.CounterOpts{
 			Name: "lynxgate_entry_unsettled_claims_total",
 			Help: "Outcomes of at-most-once requests that could not be recorded; their keys become unknown.",
 		}),
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -10,30 +10,30 @@
 	"lynxgate.dev/lynxgate/internal/routing"
 )
 
-// routerTick lets time pass in the routing table.
+// routerTick is the interval of the routing table's ticks.
 const routerTick = time.Second
 
-// router feeds the routing table: members and rules from the configuration,
-// agents' states from the watches it keeps open. Its one goroutine owns the
-// watches; traffic goroutines use the table.
+// router updates the routing table with members and rules from the
+// configuration and with the agents' states from its watches. Its one goroutine
+// owns the watches; the goroutines that serve requests use the table.
 type router struct {
 	entry *Entry
 	table *routing.Router
 	guard *guard
-	// members holds the revision of each member known to the table.
+	// members holds the revision of each member in the table.
 	members map[string]uint64
 	watches map[string]context.CancelFunc
-	// actions brings what steps on other goroutines ask for.
+	// actions carries the table's actions from steps on other goroutines.
 	actions chan []routing.Action
-	// capacity is signalled when backend servers came, went or changed.
+	// capacity is signalled when backend servers were added, removed or changed.
 	capacity chan struct{}
-	// unheard counts watches that have neither brought a state nor failed yet.
-	unheard atomic.Int64
-	// settled is closed once there is a configuration and no watch is unheard.
-	settled chan struct{}
-	// countedAt is when an agent's count last led to an update of the
-	// capacity, a Unix time in nanoseconds.
-	countedAt atomic.Int64
+	// unreported counts watches that have neither received a state nor failed yet.
+	unreported atomic.Int64
+	// allReported is closed once there is a configuration and unreported is 0.
+	allReported chan struct{}
+	// lastCountUpdate is when an agent's request count last caused an update of the
+	// capacity, as a Unix time in nanoseconds.
+	lastCountUpdate atomic.Int64
 }
 
 func newRouter(e *Entry) *router {
@@ -45,18 +45,18 @@
 		cfg.SubsetSize = e.cfg.WatchSubset
 	}
 	return &router{
-		entry:    e,
-		table:    routing.NewRouter(cfg),
-		guard:    newGuard(),
-		members:  map[string]uint64{},
-		watches:  map[string]context.CancelFunc{},
-		actions:  make(chan []routing.Action),
-		capacity: make(chan struct{}, 1),
-		settled:  make(chan struct{}),
+		entry:       e,
+		table:       routing.NewRouter(cfg),
+		guard:       newGuard(),
+		members:     map[string]uint64{},
+		watches:     map[string]context.CancelFunc{},
+		actions:     make(chan []routing.Action),
+		capacity:    make(chan struct{}, 1),
+		allReported: make(chan struct{}),
 	}
 }
 
-// step applies an event from a traffic or watch goroutine.
+// step applies an event from a goroutine that serves a request or a watch.
 func (r *router) step(ctx context.Context, event routing.Event) {
 	actions := r.table.Step(time.Now(), event)
 	if len(actions) == 0 {
@@ -68,7 +68,7 @@
 	}
 }
 
-// run follows the configuration and carries out the table's actions.
+// run applies each new configuration and carries out the table's actions.
 func (r *router) run(ctx context.Context) {
 	ticker := time.NewTicker(routerTick)
 	defer ticker.Stop()
@@ -84,20 +84,20 @@
 		case <-ticker.C:
 			r.apply(ctx, routing.Tick{})
 			r.updateCapacity()
-			r.endSilent()
+			r.cancelSilent()
 		case <-r.capacity:
 			r.updateCapacity()
 		}
 	}
 }
 
-// apply steps the table on the router's own goroutine.
+// apply applies an event on the router's own goroutine.
 func (r *router) apply(ctx context.Context, event routing.Event) {
 	r.carryOut(ctx, r.table.Step(time.Now(), event))
 }
 
-// follow takes over the configuration in force and returns the channel that
-// tells of the next one.
+// follow applies the configuration in force and returns the channel that is
+// closed at the next change.
 func (r *router) follow(ctx context.Context) <-chan struct{} {
 	changed := r.entry.feed.Changed()
 	view := r.entry.feed.View()
@@ -113,7 +113,7 @@
 	return changed
 }
 
-// followMembers tells the table which members have changed.
+// followMembers applies the changes of members to the table.
 func (r *router) followMembers(ctx context.Context, view *keyspace.View) {
 	present := map[string]bool{}
 	for _, entry := range view.Prefix(inventory.PrefixMember) {
@@ -142,15 +142,15 @@
 			r.stopWatch(act.VM)
 			watchCtx, cancel := context.WithCancel(ctx)
 			r.watches[act.VM] = cancel
-			r.unheard.Add(1)
+			r.unreported.Add(1)
 			go r.watch(watchCtx, act.VM, act.Addr)
 		case routing.StopWatch:
 			r.stopWatch(act.VM)
 		case routing.SetAside:
-			r.entry.metrics.aside.WithLabelValues(string(act.Cause)).Inc()
+			r.entry.metrics.ejections.WithLabelValues(string(act.Cause)).Inc()
 			r.entry.cfg.Logger.Warn().Str("vm", act.VM).Str("cause", string(act.Cause)).Msg("backend server set aside")
 		case routing.PutBack:
-			r.entry.cfg.Logger.Info().Str("vm", act.VM).Msg("backend server put back")
+			r.entry.cfg.Logger.Info().Str("vm", act.VM).Msg("backend server gets its full share of requests again")
 		}
 	}
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -16,9 +16,9 @@
 	"lynxgate.dev/lynxgate/internal/pause"
 )
 
-// DefaultLeaveGrace is how long a leaving entry still takes new requests, so
-// that the balancer in front can notice and callers on kept connections are
-// told to close them.
+// DefaultLeaveGrace is how long a leaving entry still accepts new requests, so
+// that the load balancer in front can detect it and answers can ask callers to
+// close their keep-alive connections.
 const DefaultLeaveGrace = time.Second
 
 func (e *Entry) newServer() *http.Server {
@@ -40,9 +40,9 @@
 	}
 }
 
-// closeWhenLeaving ends kept connections with an answer. Closing idle ones
-// outright would lose requests that are on their way: their callers could not
-// tell whether they ran.
+// closeWhenLeaving closes keep-alive connections after an answer. Closing idle
+// ones at once could lose requests in transit, and their callers could not know
+// whether they ran.
 func (e *Entry) closeWhenLeaving(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if e.leaving.Load() {
@@ -52,7 +52,7 @@
 	}
 }
 
-// writeRouteError answers requests that no route takes.
+// writeRouteError answers requests that match no route.
 func writeRouteError(err error, c echo.Context) {
 	reason, detail := outcome.NotFound, fmt.Sprintf("path %s: no such resource", c.Request().URL.Path)
 	var routed *echo.HTTPError
@@ -92,8 +92,8 @@
 	return err
 }
 
-// Leave says that the entry is leaving, takes no new requests after
-// the grace, and waits until those in progress have ended or ctx is done.
+// Leave announces that the entry is leaving, stops accepting new requests after
+// LeaveGrace, and waits until those in progress have ended or ctx is done.
 func (e *Entry) Leave(ctx context.Context) error {
 	e.leaving.Store(true)
 	e.announcer.ChangedUrgently()
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -34,8 +34,7 @@
 	return b.String()
 }
 
-// streamTo answers with the events up to n, or cuts the connection after cut
-// of them.
+// streamTo answers with n events, or fails after cut of them.
 func streamTo(version string, cut, n int) runFunc {
 	return func(in *rpc.RunRequest, w *frames.Writer, send func(*rpc.ResponseFrame) error, _ context.Context) error {
 		from := 0
@@ -56,14 +55,15 @@
 	}
 }
 
-// A cut stream goes on where it was cut, on the same version only. Without
-// another replica of it the caller gets an error event and no clean end.
-func TestCutStreamResumesOnTheSameVersionOnly(t *testing.T) {
+// A truncated stream is resumed where it ended, on the same version only.
+// Without another replica of that version the caller gets an error event and a
+// broken connection.
+func TestTruncatedStreamResumesOnTheSameVersionOnly(t *testing.T) {
 	for _, other := range []string{"v1", "v2"} {
 		t.Run("other replica on "+other, func(t *testing.T) {
 			cutter := &fakeAgent{version: "v1", run: streamTo("v1", 2, 5)}
 			second := &fakeAgent{version: other, run: streamTo(other, -1, 5)}
-			b := newBed(t, Config{}, cutter, second)
+			b := newTestbed(t, Config{}, cutter, second)
 			require.Eventually(t, func() bool {
 				got := b.call(chatPath, streamBody)
 				if len(cutter.requests()) == 0 {
@@ -79,14 +79,15 @@
 				require.True(t, strings.HasPrefix(got.body, events("v1", 0, 2)+"event: error\n"), got.body)
 				require.NotContains(t, got.body, "[DONE]")
 				return true
-			}, patience, time.Millisecond)
+			}, waitLimit, time.Millisecond)
 		})
 	}
 }
 
-// The stream's own last event waits for the end mark; lost, damaged and
-// foreign frames never give a clean end, doubled and foreign ones do no harm.
-func TestOnlyACheckedStreamEndsCleanly(t *testing.T) {
+// The final event of a stream is sent only after the end frame is checked. Lost
+// and corrupt frames abort the stream; duplicate and reordered frames and those
+// of another request do no harm.
+func TestOnlyAVerifiedStreamEndsCleanly(t *testing.T) {
 	whole := events("v1", 0, 2) + lastEvent
 	cases := map[string]struct {
 		change func([]*rpc.ResponseFrame) []*rpc.ResponseFrame
@@ -119,7 +120,7 @@
 				}
 				return nil
 			}}
-			got := newBed(t, Config{}, agent).call(chatPath, streamBody)
+			got := newTestbed(t, Config{}, agent).call(chatPath, streamBody)
 			require.Equal(t, c.clean, !got.broken)
 			if c.clean {
 				require.Equal(t, whole, got.body)
@@ -131,17 +132,17 @@
 	}
 }
 
-// An answer that is no stream is withheld until checked; one too large for
-// that ends as a broken connection.
-func TestCutWholeAnswer(t *testing.T) {
-	for size, begun := range map[int]bool{100: false, maxHeldBytes + 1: true} {
+// An answer that is not a stream is sent only after it is checked. If it is too
+// large to buffer and truncated, the connection to the caller is aborted.
+func TestTruncatedUnstreamedAnswer(t *testing.T) {
+	for size, begun := range map[int]bool{100: false, maxBufferedBytes + 1: true} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			agent := &fakeAgent{run: func(_ *rpc.RunRequest, w *frames.Writer, send func(*rpc.ResponseFrame) error, _ context.Context) error {
 				_ = send(w.Head(200, nil))
 				_ = send(w.Data(make([]byte, size)))
 				return errors.New("cut")
 			}}
-			got := newBed(t, Config{}, agent).call("/services/office/x", "")
+			got := newTestbed(t, Config{}, agent).call("/services/office/x", "")
 			if begun {
 				require.True(t, got.broken)
 				return
@@ -152,8 +153,8 @@
 	}
 }
 
-// block runs until its request is cancelled, after the head and one event or
-// without a sign.
+// block runs until its request is cancelled. With begins, it first sends the
+// head and one event.
 func block(ended chan struct{}, begins bool) runFunc {
 	return func(_ *rpc.RunRequest, w *frames.Writer, send func(*rpc.ResponseFrame) error, ctx context.Context) error {
 		if begins {
@@ -170,7 +171,7 @@
 	t.Helper()
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(waitLimit):
 		t.Fatal("the agent still runs the request")
 	}
 }
@@ -178,21 +179,22 @@
 func TestCallerGoneCancelsTheRequest(t *testing.T) {
 	ended := make(chan struct{})
 	agent := &fakeAgent{version: "v1", run: block(ended, true)}
-	b := newBed(t, Config{}, agent)
+	b := newTestbed(t, Config{}, agent)
 	ctx, cancel := context.WithCancel(context.Background())
 	resp, err := b.send(ctx, chatPath, streamBody)
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	cancel()
 	requireEnds(t, ended)
-	require.Len(t, agent.requests(), 1, "a request that nobody waits for is not retried")
+	require.Len(t, agent.requests(), 1, "a request whose caller has gone is not retried")
 }
 
-func TestDeadlineCancelsAndIsTold(t *testing.T) {
+func TestDeadlineCancelsAndIsReported(t *testing.T) {
 	ended := make(chan struct{})
 	agent := &fakeAgent{run: block(ended, false)}
-	b := newBed(t, Config{}, agent)
-	// Estimates of the first request are too high for a short deadline.
+	b := newTestbed(t, Config{}, agent)
+	// The estimated service time of a first request would exceed a shorter
+	// deadline.
 	got := b.call("/services/office/read", "", HeaderDeadline, "1500")
 	require.Equal(t, 504, got.status)
 	require.Equal(t, outcome.DeadlineExceeded, got.reason)
@@ -204,15 +206,15 @@
 	}
 }
 
-// A long stream that has begun is no sign of a stalled backend server.
-func TestLongStreamsStallNobody(t *testing.T) {
+// A long stream that has begun does not indicate a stalled backend server.
+func TestLongStreamsAreNotTakenForStalled(t *testing.T) {
 	answer := func(in *rpc.RunRequest, w *frames.Writer, send func(*rpc.ResponseFrame) error, ctx context.Context) error {
 		if bytes.Contains(in.Body, []byte("long")) {
 			return block(make(chan struct{}), true)(in, w, send, ctx)
 		}
 		return streamTo("v1", -1, 2)(in, w, send, ctx)
 	}
-	b := newBed(t, Config{}, &fakeAgent{version: "v1", run: answer}, &fakeAgent{version: "v1", run: answer})
+	b := newTestbed(t, Config{}, &fakeAgent{version: "v1", run: answer}, &fakeAgent{version: "v1", run: answer})
 	for range 12 {
 		b.call(chatPath, streamBody)
 	}
--- a/internal/entry/bed_test.go
+++ b/internal/entry/testbed_test.go
@@ -29,13 +29,14 @@
 	"lynxgate.dev/lynxgate/internal/rpcconn"
 )
 
-// patience is the generous limit of every wait on a condition.
-const patience = 30 * time.Second
+// waitLimit bounds every wait for a condition, with a wide margin.
+const waitLimit = 30 * time.Second
 
 // runFunc answers one dispatched request.
 type runFunc func(in *rpc.RunRequest, w *frames.Writer, send func(*rpc.ResponseFrame) error, ctx context.Context) error
 
-// fakeAgent is an agent that runs what a test says and keeps the requests.
+// fakeAgent is an agent that answers with a test's function and records the
+// requests.
 type fakeAgent struct {
 	rpc.DRPCDispatchUnimplementedServer
 	vm, service, version string
@@ -78,8 +79,8 @@
 	}
 }
 
-// fakeControl grants each key once and keeps what it was told. Its verdict
-// and statuses can be set.
+// fakeControl returns the verdict and the statuses that a test sets, or the
+// stored answer of a completed key, and records the requests.
 type fakeControl struct {
 	rpc.DRPCControlUnimplementedServer
 	mu                        sync.Mutex
@@ -122,9 +123,9 @@
 func (f staticFeed) Changed() <-chan struct{} { return nil }
 func (f staticFeed) Unconfirmed() bool        { return false }
 
-// bed is an entry served over loopback, before fake agents and a fake control
-// server.
-type bed struct {
+// testbed is an entry that serves on loopback, with fake agents and a fake
+// control server.
+type testbed struct {
 	t       *testing.T
 	entry   *Entry
 	control *fakeControl
@@ -132,9 +133,9 @@
 	client  *http.Client
 }
 
-// newBed starts an entry. Agents with a version stand for the model service
-// "chat", those without for the plain service "office".
-func newBed(t *testing.T, cfg Config, agents ...*fakeAgent) *bed {
+// newTestbed starts an entry. Agents with a version serve the model service
+// "chat", those without the plain service "office".
+func newTestbed(t *testing.T, cfg Config, agents ...*fakeAgent) *testbed {
 	t.Helper()
 	t.Parallel()
 	records := map[string]any{
@@ -155,11 +156,11 @@
 		a.addr, a.stop = serveRPC(t, func(mux *drpcmux.Mux) error { return rpc.DRPCRegisterDispatch(mux, a) })
 		records["member/"+a.vm] = inventory.Member{VM: a.vm, Addr: a.addr, Service: a.service, Incarnation: 1, State: inventory.MemberUp}
 	}
-	b := &bed{t: t, control: &fakeControl{stored: map[string]*rpc.StoredAnswer{}}, client: &http.Client{Transport: &http.Transport{}}}
+	b := &testbed{t: t, control: &fakeControl{stored: map[string]*rpc.StoredAnswer{}}, client: &http.Client{Transport: &http.Transport{}}}
 	controlAddr, _ := serveRPC(t, func(mux *drpcmux.Mux) error { return rpc.DRPCRegisterControl(mux, b.control) })
 	b.start(cfg, viewOf(t, records), controlAddr)
 	for _, a := range agents {
-		b.awaitHeard(a, agents)
+		b.awaitReport(a, agents)
 	}
 	b.entry.router.updateCapacity()
 	return b
@@ -175,7 +176,7 @@
 	return keyspace.NewView(1, entries)
 }
 
-func (b *bed) start(cfg Config, view *keyspace.View, controlAddr string) {
+func (b *testbed) start(cfg Config, view *keyspace.View, controlAddr string) {
 	cfg.Name = "entry-1"
 	cfg.Logger, cfg.Registerer = zerolog.Nop(), prometheus.NewRegistry()
 	cfg.MaxBodyBytes = max(cfg.MaxBodyBytes, 1<<10)
@@ -183,7 +184,7 @@
 	if cfg.MaxConnections == 0 {
 		cfg.MaxConnections = 100
 	}
-	cfg.DefaultDeadline = patience
+	cfg.DefaultDeadline = waitLimit
 	control := controlclient.New(controlclient.Config{Addrs: []string{controlAddr}})
 	b.entry = New(cfg, staticFeed{view}, control)
 	lis := listen(b.t)
@@ -199,8 +200,8 @@
 	})
 }
 
-// awaitHeard waits until the entry has heard from an agent.
-func (b *bed) awaitHeard(a *fakeAgent, all []*fakeAgent) {
+// awaitReport waits until the entry has received a state of the agent.
+func (b *testbed) awaitReport(a *fakeAgent, all []*fakeAgent) {
 	b.t.Helper()
 	var others []string
 	for _, other := range all {
@@ -214,7 +215,7 @@
 			request.Model = "m"
 		}
 		return b.entry.router.table.View().Room(time.Now(), request).Servers == 1
-	}, patience, time.Millisecond)
+	}, waitLimit, time.Millisecond)
 }
 
 // serveRPC serves on a free loopback port until stop or the test's end.
@@ -243,21 +244,21 @@
 	return lis
 }
 
-// result is what a caller saw.
+// result is a caller's view of an answer.
 type result struct {
 	status int
 	header http.Header
 	body   string
-	// broken is true when the connection ended before the answer did.
+	// broken is true if the connection was closed before the end of the answer.
 	broken bool
 	kind   string
 	reason outcome.Reason
 }
 
 // call sends a request as organisation o1 unless headers say otherwise.
-func (b *bed) call(path, body string, headers ...string) result {
+func (b *testbed) call(path, body string, headers ...string) result {
 	b.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	resp, err := b.send(ctx, path, body, headers...)
 	require.NoError(b.t, err)
@@ -275,7 +276,7 @@
 	return r
 }
 
-func (b *bed) send(ctx context.Context, path, body string, headers ...string) (*http.Response, error) {
+func (b *testbed) send(ctx context.Context, path, body string, headers ...string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, b.url+path, bytes.NewReader([]byte(body)))
 	require.NoError(b.t, err)
 	req.Header.Set("Authorization", "Bearer key-o1")
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -11,27 +11,27 @@
 	"lynxgate.dev/lynxgate/internal/rpcconn"
 )
 
-// watchRetry is waited before a lost watch is opened again.
-const watchRetry = 500 * time.Millisecond
+// watchRetryDelay is the wait before a lost watch is reopened.
+const watchRetryDelay = 500 * time.Millisecond
 
-// watch follows the state of one agent until ctx is done.
+// watch applies the states of one agent to the table until ctx is done.
 func (r *router) watch(ctx context.Context, vm, addr string) {
-	heard := sync.OnceFunc(func() { r.unheard.Add(-1) })
-	defer heard()
+	reported := sync.OnceFunc(func() { r.unreported.Add(-1) })
+	defer reported()
 	for ctx.Err() == nil {
-		r.followAgent(ctx, vm, addr, heard)
+		r.followAgent(ctx, vm, addr, reported)
 		if ctx.Err() != nil {
 			return
 		}
 		r.step(ctx, routing.WatchLost{VM: vm})
-		heard()
+		reported()
 		r.wakeCapacity()
-		pause.For(ctx, watchRetry)
+		pause.For(ctx, watchRetryDelay)
 	}
 }
 
-// followAgent takes over states of the agent until the watch is lost.
-func (r *router) followAgent(ctx context.Context, vm, addr string, heard func()) {
+// followAgent opens a watch and applies the agent's states until it fails.
+func (r *router) followAgent(ctx context.Context, vm, addr string, reported func()) {
 	conn, err := rpcconn.Dial(ctx, addr)
 	if err != nil {
 		return
@@ -49,7 +49,7 @@
 			return
 		}
 		r.step(ctx, routing.StateFromRPC(state))
-		heard()
+		reported()
 		if last == nil || changesCapacity(last, state) {
 			r.wakeCapacity()
 		}
