--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -88,7 +88,7 @@
 	case rpc.ClaimVerdict_CLAIM_BODY_MISMATCH:
 		return outcome.Not(outcome.KeyReused, "the key was used with another request", 0)
 	case rpc.ClaimVerdict_CLAIM_FULL:
-		return outcome.Not(outcome.ClaimsFull, "no capacity to record another key", after)
+		return outcome.Not(outcome.ClaimsFull, "no room to record another key", after)
 	}
 	return outcome.May(outcome.ClaimUnknown, "a request with this key may have run; it will not be run again")
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -228,7 +228,7 @@
 	case e.feed.View().Revision() == 0:
 		return "no configuration received yet", false
 	case !e.serving.Load():
-		return "not all backend servers have reported yet", false
+		return "not all backend servers heard of yet", false
 	}
 	return "", true
 }
