--- a/internal/admission/bucket.go
+++ b/internal/admission/bucket.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// bucket is a token bucket. Its level may be negative after a settlement.
+// bucket is a token bucket. Its level is negative after a request for more
+// than the burst, or if a request used more tokens than it had reserved.
 type bucket struct {
 	rate  float64 // per second; 0 means no limit
 	burst float64
@@ -10,7 +11,8 @@
 	last  time.Time
 }
 
-// setRate changes the rate and keeps what is saved up within the new burst.
+// setRate changes the rate. Accumulated tokens are kept up to the new burst; a
+// bucket that had no rate starts full.
 func (b *bucket) setRate(rate float64, burst time.Duration, now time.Time) {
 	unset := b.rate <= 0
 	b.refill(now)
@@ -29,8 +31,8 @@
 	}
 }
 
-// wait returns how long until n may be taken; 0 means now. More than the
-// burst is let through on a full bucket and leaves it in debt.
+// wait returns the time until n tokens may be taken; 0 means now. A request for
+// more than the burst needs a full bucket and leaves the level negative.
 func (b *bucket) wait(n float64, now time.Time) time.Duration {
 	if b.rate <= 0 {
 		return 0
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -10,10 +10,10 @@
 	"lynxgate.dev/lynxgate/internal/outcome"
 )
 
-// TickInterval is how often Run lets time pass while requests are queued.
+// TickInterval is the time between the ticks of Run while requests are queued.
 const TickInterval = 10 * time.Millisecond
 
-// Request is what Acquire needs to know of a request.
+// Request describes a request to Acquire.
 type Request struct {
 	Organisation string
 	Service      string
@@ -23,7 +23,7 @@
 	Tokens float64
 }
 
-// Controller is a Machine for many goroutines.
+// Controller makes a Machine safe for concurrent use.
 type Controller struct {
 	now func() time.Time
 
@@ -31,7 +31,7 @@
 	machine *Machine
 	lastID  uint64
 	waiting map[uint64]chan Action
-	// queued is signalled while requests are queued.
+	// queued wakes Run; it is signalled after each step that leaves requests queued.
 	queued chan struct{}
 }
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// Ticket is the right to run one request.
+// Ticket is the permission to run one request. It occupies a slot until Finish.
 type Ticket struct {
 	controller *Controller
 	id         uint64
@@ -53,7 +53,7 @@
 }
 
 // Acquire waits until the request may start, is refused, or ctx ends. The
-// ticket is nil if the request must not run; the outcome says why.
+// ticket is nil if the request must not run; the outcome gives the reason.
 func (c *Controller) Acquire(ctx context.Context, r Request) (*Ticket, outcome.Outcome) {
 	id, answer := c.arrive(r)
 	select {
@@ -61,12 +61,12 @@
 		return c.ticket(id, action)
 	case <-ctx.Done():
 		c.abandon(id, answer)
-		return nil, withdrawn(ctx.Err())
+		return nil, endedBeforeStart(ctx.Err())
 	}
 }
 
-// withdrawn is the outcome of a request whose context ended before its start.
-func withdrawn(err error) outcome.Outcome {
+// endedBeforeStart is the outcome of a request whose context ended before its start.
+func endedBeforeStart(err error) outcome.Outcome {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return outcome.Not(outcome.DeadlineExceeded, "the deadline passed before the request was started", 0)
 	}
@@ -97,8 +97,8 @@
 	return nil, outcome.Not(action.Reason, "", action.RetryAfter)
 }
 
-// abandon withdraws a request whose caller left. If it was started in the
-// same moment, its slot is given back.
+// abandon cancels a request whose context ended. If the request was started
+// concurrently, its slot is released.
 func (c *Controller) abandon(id uint64, answer <-chan Action) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,24 +112,24 @@
 	}
 }
 
-// Finish gives the slot back, with the tokens really used. Only the first
-// call counts.
+// Finish releases the slot and settles the tokens that the request used. Calls
+// after the first have no effect.
 func (t *Ticket) Finish(kind outcome.Kind, tokens float64) {
 	t.once.Do(func() {
 		t.controller.event(Finish{ID: t.id, Outcome: kind, Tokens: tokens})
 	})
 }
 
-// SetCapacity sets the slots of a service at this entry. Without slots the
-// service counts as having no backend server: its queue is refused.
+// SetCapacity sets the slots of a service at this entry. With 0 slots the
+// service has no backend server, and all its queued requests are refused.
 func (c *Controller) SetCapacity(service string, slots int) {
 	c.event(CapacityChanged{Service: service, Slots: slots})
 }
 
-// SetFree sets the slots to the running requests plus the free places that
-// the usable backend servers have now; a negative number takes slots away. It
-// leaves at least one slot, so that a service whose backend servers are only
-// busy keeps its queue.
+// SetFree sets the slots of a service to its running requests plus the free
+// slots of the usable backend servers; a negative number removes slots. At
+// least one slot remains, so that a service whose backend servers are only busy
+// keeps its queue.
 func (c *Controller) SetFree(service string, free int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,7 +152,7 @@
 }
 
 // Tick refuses the queued requests that can no longer finish in time. It
-// reports whether any are queued still.
+// reports whether any are still queued.
 func (c *Controller) Tick() (queued bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +160,7 @@
 	return c.machine.Queued() > 0
 }
 
-// Run ticks while requests are queued, until ctx ends. It sleeps while none is.
+// Run ticks while requests are queued, until ctx ends. It blocks while none is.
 func (c *Controller) Run(ctx context.Context) {
 	for {
 		select {
@@ -200,8 +200,8 @@
 	c.step(e)
 }
 
-// step hands the machine's actions to the waiting goroutines. The channels
-// have room for the one action each request gets.
+// step sends the machine's actions to the waiting goroutines. The sends do not
+// block: each channel buffers one action, and a request gets only one.
 func (c *Controller) step(e Event) {
 	for _, action := range c.machine.Step(c.now(), e) {
 		answer, ok := c.waiting[action.ID]
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -13,9 +13,9 @@
 	"lynxgate.dev/lynxgate/internal/outcome"
 )
 
-const generous = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// testClock is a clock that tests move.
+// testClock is a clock that tests advance.
 type testClock struct{ ms atomic.Int64 }
 
 func (c *testClock) now() time.Time { return at(int(c.ms.Load())) }
@@ -54,8 +54,8 @@
 	go func() { wg.Wait(); close(answered) }()
 	select {
 	case <-answered:
-	case <-time.After(generous):
-		t.Fatalf("callers are left waiting: %+v", c.Status("s"))
+	case <-time.After(testTimeout):
+		t.Fatalf("callers were not answered: %+v", c.Status("s"))
 	}
 	require.EqualValues(t, 300, started.Load()+refused.Load())
 	require.GreaterOrEqual(t, started.Load(), int64(200))
@@ -65,7 +65,7 @@
 	require.Empty(t, c.waiting)
 }
 
-func TestControllerRefusesWhenTheDeadlineIsOut(t *testing.T) {
+func TestControllerRefusesQueuedRequestThatWouldFinishLate(t *testing.T) {
 	clock := &testClock{}
 	c := NewController(DefaultConfig, clock.now)
 	c.SetCapacity("s", 1)
@@ -77,7 +77,7 @@
 		done <- why
 	}()
 	queued := func() bool { return c.Status("s").Queued == 1 }
-	require.Eventually(t, queued, generous, time.Millisecond)
+	require.Eventually(t, queued, testTimeout, time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
 	go func() { c.Run(ctx); close(stopped) }()
@@ -91,8 +91,8 @@
 	first.Finish(outcome.Completed, 0)
 }
 
-// Run sleeps while nothing is queued; each request that is queued afterwards
-// must still be refused when its time is out.
+// Run blocks while nothing is queued. If it did not wake up again, a request
+// queued later would wait past its deadline instead of being refused.
 func TestControllerTicksAgainAfterItsQueueWasEmpty(t *testing.T) {
 	clock := &testClock{}
 	c := NewController(DefaultConfig, clock.now)
@@ -110,9 +110,9 @@
 			_, why := c.Acquire(ctx, Request{Organisation: "a", Service: "s", Deadline: at(int(now) + 9000)})
 			done <- why
 		}()
-		require.Eventually(t, func() bool { return c.Status("s").Queued == 1 }, generous, time.Millisecond)
+		require.Eventually(t, func() bool { return c.Status("s").Queued == 1 }, testTimeout, time.Millisecond)
 		clock.ms.Store(now + 8500)
-		require.Eventually(t, func() bool { return len(done) == 1 }, generous, time.Millisecond)
+		require.Eventually(t, func() bool { return len(done) == 1 }, testTimeout, time.Millisecond)
 		require.Equal(t, outcome.Overloaded, (<-done).Reason)
 	}
 	cancel()
@@ -128,7 +128,7 @@
 	require.NotNil(t, ticket)
 	_, why := c.Acquire(context.Background(), Request{Organisation: "a", Service: "s"})
 	require.Equal(t, outcome.ConcurrencyLimited, why.Reason)
-	require.Equal(t, 4.0, c.machine.services["s"].classes[0].flows[flowKey{"a", endless}].weight)
+	require.Equal(t, 4.0, c.machine.services["s"].classes[0].flows[flowKey{"a", noDeadline}].weight)
 }
 
 func TestBusyServiceKeepsItsQueue(t *testing.T) {
@@ -146,7 +146,7 @@
 	require.Equal(t, 1, c.Status("other").Slots, "busy with the requests of other entries")
 }
 
-func TestContextEndsInTheQueue(t *testing.T) {
+func TestContextEndsWhileQueued(t *testing.T) {
 	c := NewController(DefaultConfig, (&testClock{}).now)
 	c.SetCapacity("s", 1)
 	_, _ = c.Acquire(context.Background(), Request{Organisation: "a", Service: "s"})
@@ -161,7 +161,7 @@
 	require.Equal(t, Status{Slots: 1, Running: 1, MeanService: time.Second}, c.Status("s"))
 }
 
-// TestAbandonAfterStart lets the caller leave in the moment of the start.
+// A caller leaves at the moment its request is started: the slot must be released.
 func TestAbandonAfterStart(t *testing.T) {
 	c := NewController(DefaultConfig, (&testClock{}).now)
 	c.SetCapacity("s", 1)
@@ -176,13 +176,13 @@
 	c.abandon(queuedID, queuedAnswer)
 }
 
-// Time is let pass only while requests are queued: an idle entry must not
-// wake up a hundred times a second.
+// Run ticks only while requests are queued: an idle entry must not wake up a
+// hundred times a second.
 func TestIdleControllerSleeps(t *testing.T) {
 	c := NewController(DefaultConfig, (&testClock{}).now)
 	c.SetCapacity("s", 1)
 	ticket, _ := c.Acquire(context.Background(), Request{Organisation: "a", Service: "s"})
-	require.Empty(t, c.queued, "a request that starts at once wakes nobody")
+	require.Empty(t, c.queued, "a request that starts at once does not wake Run")
 	_, answer := c.arrive(Request{Organisation: "a", Service: "s"})
 	require.Len(t, c.queued, 1)
 	require.True(t, c.Tick())
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -5,13 +5,13 @@
 // estimateGain is the weight of a new measurement in the running estimate.
 const estimateGain = 1.0 / 32
 
-// estimate follows the mean service time and its mean deviation.
+// estimate is the running mean of a service time and of its deviation.
 type estimate struct {
 	mean, deviation time.Duration
 	measured        bool
 }
 
-// add takes one measured service time.
+// add includes one measured service time.
 func (e *estimate) add(took time.Duration) {
 	if !e.measured {
 		e.mean = took
@@ -24,8 +24,8 @@
 	e.deviation += time.Duration(estimateGain * float64(diff.Abs()-e.deviation))
 }
 
-// addAtLeast takes the time after which a request ended without an answer:
-// its service would have taken at least as long.
+// addAtLeast includes a lower bound of a service time: the time after which a
+// request ended without an answer. Bounds below the mean are ignored.
 func (e *estimate) addAtLeast(took time.Duration) {
 	if took > e.mean {
 		e.add(took)
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -7,9 +7,9 @@
 // backend servers run at once, and a queue. The queue serves priority classes
 // in order, with a guaranteed share for the lower ones, and within a class
 // the organisations by start-time fair queueing on slot time. A request is
-// queued only if it can be expected to finish by its deadline; one that no
-// longer can is refused at once. Every request gets exactly one Start or
-// Reject, unless it is cancelled first.
+// queued only if it is expected to finish by its deadline; a queued request
+// that no longer is gets refused at once. Every request gets exactly one
+// Action, a start or a refusal, unless it is cancelled first.
 package admission
 
 import (
@@ -24,29 +24,30 @@
 
 // Config holds the machine's settings.
 type Config struct {
-	// InitialService is the service time assumed until one was measured.
+	// InitialService is the service time assumed before the first measurement.
 	InitialService time.Duration
 	// MaxQueued bounds the queued requests of one service.
 	MaxQueued int
-	// MaxWait bounds the expected wait of a request without regard to its
-	// deadline.
+	// MaxWait bounds the expected wait of a request, whatever its deadline.
 	MaxWait time.Duration
-	// WaitShare is the part of a request's spare time (what its deadline
-	// leaves besides the service time) that it may be expected to wait. The
-	// rest absorbs errors of the estimate.
+	// WaitShare bounds the expected wait as a share of a request's spare time
+	// (what its deadline leaves besides the service time). The rest absorbs
+	// errors of the estimate.
 	WaitShare float64
-	// MaxPassed is how many starts of higher classes may pass a waiting
-	// class in a row before it gets one.
+	// MaxPassed is how many starts of higher classes in a row may pass over
+	// a waiting class before one of its requests starts.
 	MaxPassed int
-	// Burst is how long a rate limit may be saved up.
+	// Burst is the time over which unused rate accumulates: a bucket holds at
+	// most rate times Burst.
 	Burst time.Duration
-	// MinRetryAfter and MaxRetryAfter bound the advice given with a refusal.
+	// MinRetryAfter and MaxRetryAfter bound the Retry-After of a refusal.
 	MinRetryAfter, MaxRetryAfter time.Duration
-	// Seed of the spread of Retry-After.
+	// Seed of the jitter of Retry-After.
 	Seed uint64
 }
 
-// DefaultConfig is weighed in docs/design/requests.md.
+// DefaultConfig holds the default settings; docs/design/requests.md gives the
+// reasons.
 var DefaultConfig = Config{
 	InitialService: time.Second,
 	MaxQueued:      10_000,
@@ -60,7 +61,7 @@
 
 // Limits of one organisation at this entry; 0 means no limit.
 type Limits struct {
-	// Weight is the share in fair queueing; 0 means 1.
+	// Weight is the relative share in fair queueing; 0 means 1.
 	Weight            float64
 	RequestsPerSecond float64
 	// Concurrency bounds requests started or queued.
@@ -78,7 +79,7 @@
 // Event is something that happened: one of the types below.
 type Event interface{ isEvent() }
 
-// Arrive brings a new request. The ID must not be in use.
+// Arrive adds a new request. The ID must not be in use.
 type Arrive struct {
 	ID           uint64
 	Organisation string
@@ -88,16 +89,17 @@
 	// Deadline of the caller; zero means none.
 	Deadline time.Time
 	// Tokens is the expected use of the token budget. It is reserved until
-	// Finish brings the real number.
+	// Finish settles the actual use.
 	Tokens float64
 }
 
 // Finish ends a started request.
 type Finish struct {
 	ID uint64
-	// Outcome decides whether the time is measured and tokens are charged.
+	// Outcome decides whether the service time is measured and tokens are
+	// charged.
 	Outcome outcome.Kind
-	// Tokens really used; ignored for a request that did not run.
+	// Tokens used; ignored for a request that did not run.
 	Tokens float64
 }
 
@@ -105,7 +107,7 @@
 // needs a Finish.
 type Cancel struct{ ID uint64 }
 
-// Tick lets time pass.
+// Tick refuses queued requests that can no longer finish in time.
 type Tick struct{}
 
 // CapacityChanged sets the slots of a service at this entry.
@@ -128,7 +130,7 @@
 type Action struct {
 	ID    uint64
 	Start bool
-	// Reason and RetryAfter go with a refusal.
+	// Reason and RetryAfter are set for a refusal.
 	Reason     outcome.Reason
 	RetryAfter time.Duration
 }
--- a/internal/admission/fairqueue.go
+++ b/internal/admission/fairqueue.go
@@ -7,117 +7,120 @@
 	"time"
 )
 
-// flow is the queue of one organisation's requests of one patience in one class of one service.
+// flow is the queue of one organisation's requests of one deadline band in one
+// class of one service.
 type flow struct {
 	flowKey
-	// weight is the organisation's; those of its flows that are not empty share it by asked, how
-	// many requests came to each lately.
-	weight, asked float64
-	// tag is the start tag of the next request in normalised slot seconds:
+	// weight is the organisation's; its flows that are not empty share it
+	// according to demand, the recent number of arrivals at each.
+	weight, demand float64
+	// startTag is the start tag of the next request in normalised slot seconds:
 	// what the flow has used, divided by its weight.
-	tag        float64
+	startTag   float64
 	head, tail *request
 	length     int
 	index      int // in the class's heap, -1 when the flow is empty
-	// gap is the running mean time between two starts of the flow while it
-	// waits, since is the last start or when it began to wait, and streak
-	// counts the starts since then.
-	gap    time.Duration
-	since  time.Time
-	streak int
-}
-
-// gapGain is the weight of a new measurement in a flow's gap.
-const gapGain = 1.0 / 32
-
-// started measures the gap before a start. The first start after the flow was
-// empty says nothing about its pace.
-func (f *flow) started(now time.Time) {
-	f.streak++
-	if f.streak > 1 {
-		f.gap += time.Duration(gapGain * float64(now.Sub(f.since)-f.gap))
+	// startInterval is the running mean of the time between two starts of the
+	// flow while it waits. intervalStart is the time of the last start, and
+	// starts counts the starts since the flow began to wait.
+	startInterval time.Duration
+	intervalStart time.Time
+	starts        int
+}
+
+// startIntervalGain is the weight of a new measurement in a flow's startInterval.
+const startIntervalGain = 1.0 / 32
+
+// recordStart measures the time since the previous start. The first start after
+// the flow was empty is not measured: it has no previous start.
+func (f *flow) recordStart(now time.Time) {
+	f.starts++
+	if f.starts > 1 {
+		f.startInterval += time.Duration(startIntervalGain * float64(now.Sub(f.intervalStart)-f.startInterval))
 	}
-	f.since = now
+	f.intervalStart = now
 }
 
-// pace returns the expected wait of the request at a place of the flow if the
-// flow's starts go on as they did lately; 0 if it has not waited through a
-// start. This sees what the queue's length does not: requests that are yet to
-// come and will go first.
-func (f *flow) pace(place int, now time.Time) time.Duration {
-	if f.streak == 0 {
+// waitByStartInterval returns the expected wait of the request at a position of
+// the flow, assuming that its starts continue at the recent interval; 0 if there
+// was no start since the flow began to wait. Unlike the queue's length, this
+// accounts for requests that will arrive later and start earlier.
+func (f *flow) waitByStartInterval(position int, now time.Time) time.Duration {
+	if f.starts == 0 {
 		return 0
 	}
-	return time.Duration(place+1)*f.gap - now.Sub(f.since)
+	return time.Duration(position+1)*f.startInterval - now.Sub(f.intervalStart)
 }
 
 // flowKey names a flow within its class.
 type flowKey struct {
 	organisation string
-	patience     patience
+	band         deadlineBand
 }
 
-// class is one priority class: start-time fair queueing over flows. The
-// virtual time is the start tag of the request started last.
+// class is one priority class: start-time fair queueing over flows.
 type class struct {
-	flows map[flowKey]*flow
-	// of are the flows of each organisation.
-	of      map[string][]*flow
-	backlog flowHeap
-	virtual float64
-	length  int
-	passed  int // starts of higher classes since this class waits or started
+	flows          map[flowKey]*flow
+	byOrganisation map[string][]*flow
+	backlog        flowHeap
+	virtualTime    float64 // the start tag of the request started last
+	length         int
+	passedOver     int // starts of higher classes since this class began to wait or last started
 }
 
 func (c *class) flow(key flowKey) *flow {
 	f, ok := c.flows[key]
 	if !ok {
-		f = &flow{flowKey: key, weight: 1, asked: 1, index: -1}
+		f = &flow{flowKey: key, weight: 1, demand: 1, index: -1}
 		if c.flows == nil {
 			c.flows = make(map[flowKey]*flow)
-			c.of = make(map[string][]*flow)
+			c.byOrganisation = make(map[string][]*flow)
 		}
 		c.flows[key] = f
-		c.of[key.organisation] = append(c.of[key.organisation], f)
+		c.byOrganisation[key.organisation] = append(c.byOrganisation[key.organisation], f)
 	}
 	return f
 }
 
-// forget drops the flows of an organisation that has no requests.
-func (c *class) forget(organisation string) {
-	for _, f := range c.of[organisation] {
+// forgetOrganisation removes the flows of an organisation that has no requests.
+func (c *class) forgetOrganisation(organisation string) {
+	for _, f := range c.byOrganisation[organisation] {
 		delete(c.flows, f.flowKey)
 	}
-	delete(c.of, organisation)
+	delete(c.byOrganisation, organisation)
 }
 
-// askedGain is the weight of the newest request of an organisation in what its flows are asked for.
-const askedGain = 1.0 / 256
+// demandGain is the weight of an organisation's newest request in the demand of
+// its flows.
+const demandGain = 1.0 / 256
 
-// came counts a request of a flow, against the others of its organisation.
-func (c *class) came(f *flow) {
-	for _, other := range c.of[f.organisation] {
-		other.asked *= 1 - askedGain
+// countArrival adds a request to the demand of a flow and lets the demand of all
+// flows of the organisation decay.
+func (c *class) countArrival(f *flow) {
+	for _, other := range c.byOrganisation[f.organisation] {
+		other.demand *= 1 - demandGain
 	}
-	f.asked++
+	f.demand++
 }
 
-// share is the weight of a flow. An organisation has no more for asking with several
-// deadlines. Each has more the more it is asked for, by the root: equal parts would serve all of
-// those who are few before any of those who are many, parts by number would let a request of
-// the few wait longer for its turn than its deadline allows.
+// share is the weight of a flow: its part of the organisation's weight, in
+// proportion to the square root of its demand. Sending requests with several
+// deadlines thus gains an organisation nothing. Equal parts would serve all
+// requests of the rare deadlines before any of the frequent ones; parts
+// proportional to demand would let a request with a rare deadline wait longer
+// than that deadline allows.
 func (c *class) share(f *flow) float64 {
 	sum := 0.0
-	for _, other := range c.of[f.organisation] {
+	for _, other := range c.byOrganisation[f.organisation] {
 		if other == f || other.length > 0 {
-			sum += math.Sqrt(other.asked)
+			sum += math.Sqrt(other.demand)
 		}
 	}
-	return f.weight * math.Sqrt(f.asked) / sum
+	return f.weight * math.Sqrt(f.demand) / sum
 }
 
-// push queues a request behind the others of its flow. A flow that was empty
-// starts at the virtual time: it cannot save up what it did not use.
+// push appends a request to its flow. A flow that was empty starts at the
+// virtual time: it accumulates no credit while idle.
 func (c *class) push(r *request, now time.Time) {
 	f := r.flow
 	r.prev = f.tail
@@ -130,13 +133,13 @@
 	f.length++
 	c.length++
 	if f.length == 1 {
-		f.streak = 0
-		f.tag = max(f.tag, c.virtual)
+		f.starts = 0
+		f.startTag = max(f.startTag, c.virtualTime)
 		heap.Push(&c.backlog, f)
 	}
 }
 
-// remove takes a request out of its flow, wherever it stands.
+// remove takes a request out of its flow, at any position.
 func (c *class) remove(r *request) {
 	f := r.flow
 	if r.prev != nil {
@@ -156,7 +159,7 @@
 		heap.Remove(&c.backlog, f.index)
 	}
 	if c.length == 0 {
-		c.passed = 0
+		c.passedOver = 0
 	}
 }
 
@@ -164,45 +167,46 @@
 func (c *class) pop(cost float64, now time.Time) *request {
 	f := c.backlog[0]
 	r := f.head
-	c.virtual = max(c.virtual, f.tag)
+	c.virtualTime = max(c.virtualTime, f.startTag)
 	c.remove(r)
-	f.started(now)
+	f.recordStart(now)
 	c.charge(f, cost)
 	return r
 }
 
-// charge adds used slot seconds to a flow; a negative cost is given back.
+// charge adds used slot seconds to a flow; a negative cost is a refund.
 func (c *class) charge(f *flow, cost float64) {
-	f.tag += cost / c.share(f)
+	f.startTag += cost / c.share(f)
 	if f.index >= 0 {
 		heap.Fix(&c.backlog, f.index)
 	}
 }
 
 // ahead returns how many requests of the class are expected to start before
-// the one at the given place (0 is the head) of a flow: those in front of it,
-// and from each other flow as many as its weight allows meanwhile.
-func (c *class) ahead(f *flow, place int) float64 {
-	n := float64(place)
-	turns := float64(place+1) / c.share(f)
+// the one at the given position (0 is the head) of a flow: those in front of it,
+// and from each other flow as many as its share allows in the same time.
+func (c *class) ahead(f *flow, position int) float64 {
+	n := float64(position)
+	rounds := float64(position+1) / c.share(f)
 	for _, other := range c.backlog {
 		if other != f {
-			n += min(float64(other.length), turns*c.share(other))
+			n += min(float64(other.length), rounds*c.share(other))
 		}
 	}
 	return n
 }
 
-// flowHeap orders the backlogged flows by start tag, then by name and patience.
+// flowHeap orders the backlogged flows by start tag, then by organisation and
+// deadline band.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
 
 func (h flowHeap) Less(i, j int) bool {
-	if h[i].tag != h[j].tag {
-		return h[i].tag < h[j].tag
+	if h[i].startTag != h[j].startTag {
+		return h[i].startTag < h[j].startTag
 	}
-	return cmp.Or(cmp.Compare(h[i].organisation, h[j].organisation), cmp.Compare(h[i].patience, h[j].patience)) < 0
+	return cmp.Or(cmp.Compare(h[i].organisation, h[j].organisation), cmp.Compare(h[i].band, h[j].band)) < 0
 }
 
 func (h flowHeap) Swap(i, j int) {
--- a/internal/admission/machine.go
+++ b/internal/admission/machine.go
@@ -24,7 +24,7 @@
 	index      int      // in the deadline heap, -1 when not there
 }
 
-// organisation holds the limits and their use.
+// organisation holds the limits of one organisation and their current use.
 type organisation struct {
 	limits   Limits
 	rate     bucket
@@ -41,7 +41,7 @@
 	services      map[string]*service
 	order         []*service // all services, in order of appearance
 	requests      map[uint64]*request
-	spread        uint64
+	jitterState   uint64
 	actions       []Action
 }
 
@@ -52,7 +52,7 @@
 		organisations: make(map[string]*organisation),
 		services:      make(map[string]*service),
 		requests:      make(map[uint64]*request),
-		spread:        cfg.Seed,
+		jitterState:   cfg.Seed,
 	}
 }
 
@@ -101,9 +101,9 @@
 	s := m.service(e.Service)
 	o := m.organisation(now, e.Organisation)
 	c := min(max(e.Priority, 0), Classes-1)
-	f := s.classes[c].flow(flowKey{e.Organisation, patienceUntil(now, e.Deadline)})
+	f := s.classes[c].flow(flowKey{e.Organisation, bandUntil(now, e.Deadline)})
 	f.weight = o.limits.weight()
-	s.classes[c].came(f)
+	s.classes[c].countArrival(f)
 	return &request{id: e.ID, org: o, service: s, class: c, flow: f,
 		deadline: e.Deadline, reserved: e.Tokens, index: -1}
 }
@@ -117,9 +117,9 @@
 	took := now.Sub(r.started)
 	switch e.Outcome {
 	case outcome.Completed:
-		s.took.add(took)
+		s.serviceTime.add(took)
 	case outcome.Unknown:
-		s.took.addAtLeast(took)
+		s.serviceTime.addAtLeast(took)
 	case outcome.NotRun:
 		e.Tokens = 0
 	}
@@ -133,7 +133,7 @@
 	m.startNext(now, s)
 }
 
-// release forgets a request and settles its tokens.
+// release removes a request and settles its tokens.
 func (m *Machine) release(now time.Time, r *request, used float64) {
 	delete(m.requests, r.id)
 	r.org.inFlight--
@@ -153,7 +153,7 @@
 func (m *Machine) tick(now time.Time) {
 	for _, s := range m.order {
 		m.dropLate(now, s)
-		m.dropHopeless(now, s)
+		m.dropTails(now, s)
 	}
 }
 
@@ -165,7 +165,7 @@
 		return
 	}
 	m.dropLate(now, s)
-	m.dropHopeless(now, s)
+	m.dropTails(now, s)
 	m.startNext(now, s)
 }
 
@@ -176,7 +176,7 @@
 			m.forgetOrganisation(name)
 			continue
 		}
-		m.apply(now, o, e.Limits[name])
+		m.applyLimits(now, o, e.Limits[name])
 	}
 }
 
@@ -184,12 +184,12 @@
 	delete(m.organisations, name)
 	for _, s := range m.order {
 		for i := range s.classes {
-			s.classes[i].forget(name)
+			s.classes[i].forgetOrganisation(name)
 		}
 	}
 }
 
-func (m *Machine) apply(now time.Time, o *organisation, l Limits) {
+func (m *Machine) applyLimits(now time.Time, o *organisation, l Limits) {
 	o.limits = l
 	o.rate.setRate(l.RequestsPerSecond, m.cfg.Burst, now)
 	o.tokens.setRate(l.TokensPerSecond, m.cfg.Burst, now)
@@ -199,7 +199,7 @@
 	o, ok := m.organisations[name]
 	if !ok {
 		o = &organisation{}
-		m.apply(now, o, m.limits[name])
+		m.applyLimits(now, o, m.limits[name])
 		m.organisations[name] = o
 	}
 	return o
@@ -208,7 +208,7 @@
 func (m *Machine) service(name string) *service {
 	s, ok := m.services[name]
 	if !ok {
-		s = &service{took: estimate{mean: m.cfg.InitialService}}
+		s = &service{serviceTime: estimate{mean: m.cfg.InitialService}}
 		m.services[name] = s
 		m.order = append(m.order, s)
 	}
@@ -228,7 +228,7 @@
 	if !ok {
 		return Status{}
 	}
-	return Status{Slots: s.slots, Running: s.running, Queued: s.queued, MeanService: s.took.mean}
+	return Status{Slots: s.slots, Running: s.running, Queued: s.queued, MeanService: s.serviceTime.mean}
 }
 
 // Queued returns how many requests wait, over all services.
--- a/internal/admission/machine_test.go
+++ b/internal/admission/machine_test.go
@@ -27,7 +27,7 @@
 
 func arrive(id uint64, org string) Arrive { return Arrive{ID: id, Organisation: org, Service: "s"} }
 
-// verdicts of a step, as "start 1" or "overloaded 2".
+// verdicts formats the actions of a step, as "start 1" or "overloaded 2".
 func verdicts(actions []Action) []string {
 	out := []string{}
 	for _, a := range actions {
@@ -92,7 +92,7 @@
 			{500, Finish{ID: 1}, []string{"start 2"}},
 		}},
 		{"no slots", 0, []step{{0, arrive(1, "a"), []string{"no_backend_server 1"}}}},
-		{"capacity comes and goes", 1, []step{
+		{"capacity changes", 1, []step{
 			{0, arrive(1, "a"), []string{"start 1"}},
 			{0, arrive(2, "a"), nil},
 			{0, arrive(3, "b"), nil},
@@ -123,7 +123,7 @@
 			{0, in(arrive(2, "a"), 3500), nil},
 			{2600, Finish{ID: 1}, []string{"overloaded 2"}},
 		}},
-		{"less capacity sheds the ends of the queue at once", 4, []step{
+		{"less capacity sheds the tail of the queue at once", 4, []step{
 			{0, arrive(1, "a"), []string{"start 1"}},
 			{0, arrive(2, "a"), []string{"start 2"}},
 			{0, arrive(3, "a"), []string{"start 3"}},
@@ -175,11 +175,11 @@
 			advice[last.RetryAfter]++
 		}
 	}
-	// 300 of 1 s at 10 slots may wait MaxWait; the next is told to return then.
+	// With 10 slots, 300 requests of 1 s fill MaxWait; the next is advised to retry after that time.
 	require.Equal(t, 300, m.Status("s").Queued)
 	require.GreaterOrEqual(t, last.RetryAfter, 30*time.Second)
 	require.LessOrEqual(t, last.RetryAfter, 38*time.Second)
-	require.Greater(t, len(advice), 600, "callers refused together do not return together")
+	require.Greater(t, len(advice), 600, "callers refused at the same time do not retry at the same time")
 }
 
 func TestBrokenInvariantsPanic(t *testing.T) {
@@ -191,8 +191,8 @@
 	require.Panics(t, func() { m.Step(t0, nil) })
 }
 
-// TestLowClassIsNotStarved states the policy: while urgent requests wait all
-// the time, each waiting class gets one start in MaxPassed + classes.
+// While urgent requests always wait, each waiting lower class gets one start in
+// MaxPassed + the number of waiting classes.
 func TestLowClassIsNotStarved(t *testing.T) {
 	m := newTest(1, nil)
 	m.Step(t0, arrive(1, "a"))
@@ -249,7 +249,7 @@
 	})
 }
 
-func TestIdleFlowSavesNothingUp(t *testing.T) {
+func TestIdleFlowAccumulatesNoCredit(t *testing.T) {
 	c := &class{}
 	busy, idle := c.flow(flowKey{organisation: "busy"}), c.flow(flowKey{organisation: "idle"})
 	for range 20 {
@@ -270,8 +270,8 @@
 	require.Equal(t, 4, turns)
 }
 
-// TestLongRequestsAreCharged checks that fairness is in slot time: an
-// organisation whose requests take ten times as long starts fewer of them.
+// An organisation whose requests take ten times as long gets the same slot time,
+// so fewer of its requests start.
 func TestLongRequestsAreCharged(t *testing.T) {
 	m := newTest(1, nil)
 	m.cfg.MaxWait = 1000 * time.Hour
@@ -298,9 +298,9 @@
 	require.InDelta(t, 1, used[true].Seconds()/used[false].Seconds(), 0.2)
 }
 
-// TestEveryRequestIsAnsweredOnce drives the machine at random. It checks that
-// no request is lost or answered twice, that slots are never exceeded nor
-// left free while requests wait, and that everything is given back at the end.
+// TestEveryRequestIsAnsweredOnce drives the machine with random events. It checks
+// that no request is lost or answered twice, that slots are never exceeded nor
+// left free while requests wait, and that all resources are released at the end.
 func TestEveryRequestIsAnsweredOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig
@@ -314,7 +314,7 @@
 		apply := func(e Event) {
 			for _, a := range m.Step(now, e) {
 				if !queued[a.ID] {
-					t.Fatalf("request %d answered twice or after its end", a.ID)
+					t.Fatalf("request %d answered twice or after it finished", a.ID)
 				}
 				delete(queued, a.ID)
 				if a.Start {
@@ -364,7 +364,7 @@
 				apply(Tick{})
 				for i := range queued {
 					if d := deadlines[i]; !d.IsZero() && now.Add(m.Status("s").MeanService).After(d) {
-						t.Fatalf("request %d is held although it cannot finish in time", i)
+						t.Fatalf("request %d is queued although it cannot finish in time", i)
 					}
 				}
 			},
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -12,8 +12,9 @@
 	queued         int
 	classes        [Classes]class
 	byDeadline     deadlineHeap
-	took           estimate
-	// probe is a started request that the estimate spoke against; 0 is none.
+	serviceTime    estimate
+	// probe is the request that was started although the estimate says that it
+	// misses its deadline; 0 is none.
 	probe uint64
 }
 
@@ -31,10 +32,10 @@
 // remove takes a queued request out.
 func (s *service) remove(r *request) {
 	s.classes[r.class].remove(r)
-	s.forget(r)
+	s.dequeued(r)
 }
 
-func (s *service) forget(r *request) {
+func (s *service) dequeued(r *request) {
 	s.queued--
 	if r.index >= 0 {
 		heap.Remove(&s.byDeadline, r.index)
@@ -50,53 +51,54 @@
 		if c.length == 0 {
 			continue
 		}
-		if chosen < 0 || c.passed >= maxPassed && c.passed > s.classes[chosen].passed {
+		if chosen < 0 || c.passedOver >= maxPassed && c.passedOver > s.classes[chosen].passedOver {
 			chosen = i
 		}
 	}
 	for i := chosen + 1; i < Classes; i++ {
 		if s.classes[i].length > 0 {
-			s.classes[i].passed++
+			s.classes[i].passedOver++
 		}
 	}
-	s.classes[chosen].passed = 0
-	r := s.classes[chosen].pop(s.took.mean.Seconds(), now)
-	s.forget(r)
-	r.charged = s.took.mean
+	s.classes[chosen].passedOver = 0
+	r := s.classes[chosen].pop(s.serviceTime.mean.Seconds(), now)
+	s.dequeued(r)
+	r.charged = s.serviceTime.mean
 	return r
 }
 
-// wait returns the expected wait of the request at a place of a flow, by the
-// queue's length or by the flow's pace, whichever is longer.
-func (s *service) wait(classIndex int, f *flow, place int, now time.Time) time.Duration {
-	byLength := time.Duration(s.turns(classIndex, f, place) * float64(s.took.mean))
-	return max(byLength, f.pace(place, now))
+// expectedWait returns the expected wait of the request at a position of a flow,
+// by the queue's length or by the interval of the flow's starts, whichever is
+// longer.
+func (s *service) expectedWait(classIndex int, f *flow, position int, now time.Time) time.Duration {
+	byLength := time.Duration(s.serviceTimesUntilStart(classIndex, f, position) * float64(s.serviceTime.mean))
+	return max(byLength, f.waitByStartInterval(position, now))
 }
 
-// leastWait is the wait if the next slot comes free at once.
-func (s *service) leastWait(classIndex int, f *flow, place int, now time.Time) time.Duration {
-	turns := s.turns(classIndex, f, place) - 1/float64(s.slots)
-	byLength := time.Duration(turns * float64(s.took.mean))
-	return max(byLength, f.pace(place-1, now))
+// minWait is the expected wait if a slot becomes free now.
+func (s *service) minWait(classIndex int, f *flow, position int, now time.Time) time.Duration {
+	serviceTimes := s.serviceTimesUntilStart(classIndex, f, position) - 1/float64(s.slots)
+	byLength := time.Duration(serviceTimes * float64(s.serviceTime.mean))
+	return max(byLength, f.waitByStartInterval(position-1, now))
 }
 
-// turns returns how many mean service times pass before a request starts, if
-// no other arrives: slots come free at the rate slots per mean service time.
-// After capacity went away the running requests beyond the slots must finish
-// first.
-func (s *service) turns(classIndex int, f *flow, place int) float64 {
+// serviceTimesUntilStart returns how many mean service times pass before a
+// request starts, if no other arrives: in one mean service time as many requests
+// finish as there are slots. After a loss of capacity, the running requests
+// beyond the slots must finish first.
+func (s *service) serviceTimesUntilStart(classIndex int, f *flow, position int) float64 {
 	if s.slots == 0 {
 		return math.Inf(1)
 	}
-	ahead := s.classes[classIndex].ahead(f, place)
+	ahead := s.classes[classIndex].ahead(f, position)
 	for i := range classIndex {
 		ahead += float64(s.classes[i].length)
 	}
-	turns := max(ahead+1-float64(s.free()), 0) / float64(s.slots)
+	serviceTimes := max(ahead+1-float64(s.free()), 0) / float64(s.slots)
 	if excess := s.running - s.slots; excess > 0 {
-		turns += float64(excess) / float64(s.running)
+		serviceTimes += float64(excess) / float64(s.running)
 	}
-	return turns
+	return serviceTimes
 }
 
 // deadlineHeap orders the queued requests by deadline.
--- a/internal/admission/sim_test.go
+++ b/internal/admission/sim_test.go
@@ -13,8 +13,8 @@
 	"lynxgate.dev/lynxgate/internal/outcome"
 )
 
-// simulation drives a Machine in simulated time: Poisson arrivals, log-normal
-// service times that the machine does not know, a caller's deadline each.
+// simulation drives a Machine in simulated time: Poisson arrivals, each with a
+// deadline, and log-normal service times that the machine does not know.
 type simulation struct {
 	slots    int
 	service  time.Duration // mean
@@ -26,9 +26,9 @@
 	slowBy float64
 	cfg    Config
 	limits map[string]Limits
-	// hold replaces the policy by one that queues everything until its
-	// deadline, for comparison.
-	hold bool
+	// queueAll replaces the policy by one that queues every request without
+	// regard to its deadline, for comparison.
+	queueAll bool
 }
 
 // source is a stream of requests of one organisation and priority.
@@ -39,11 +39,11 @@
 	deadline time.Duration // 0: none
 }
 
-// tally of one source.
+// tally counts the results of one source.
 type tally struct {
 	arrived, good, late, refused int
 	latency                      []time.Duration // of good requests
-	refusalDelay                 []time.Duration // from arrival to the final no
+	refusalDelay                 []time.Duration // from arrival to the refusal
 }
 
 func (t *tally) p95() time.Duration { return quantile(t.latency, 0.95) }
@@ -132,7 +132,7 @@
 			pending[lastID] = open{e.source, e.at}
 			tallies[e.source].arrived++
 			a := Arrive{ID: lastID, Organisation: src.org, Service: "s", Priority: src.priority}
-			if !s.hold && src.deadline > 0 {
+			if !s.queueAll && src.deadline > 0 {
 				a.Deadline = now.Add(src.deadline)
 			}
 			actions = m.Step(now, a)
@@ -170,8 +170,8 @@
 	return sum
 }
 
-// base is 20 slots of 0.5 s for ten organisations, one of them with 55 % of
-// the load, for two minutes.
+// base simulates two minutes of 20 slots with a service time of 0.5 s and ten
+// organisations, one of them with 55 % of the load.
 func base(load float64) simulation {
 	s := simulation{slots: 20, service: 500 * time.Millisecond, sigma: 0.7,
 		duration: 2 * time.Minute, cfg: DefaultConfig}
@@ -183,8 +183,7 @@
 	return s
 }
 
-// TestGoodputStaysUnderOverload asserts that useful work does not fall when
-// more arrives than can be served, and that refusals are answered early.
+// Goodput must not fall under overload, and refusals must be given on arrival.
 func TestGoodputStaysUnderOverload(t *testing.T) {
 	good := map[float64]float64{}
 	for _, load := range []float64{1, 2, 4} {
@@ -202,19 +201,19 @@
 	require.GreaterOrEqual(t, good[4]/good[1], 0.9)
 }
 
-// TestHoldingEverythingLosesTheGoodput is the counter-check: the simulation
-// does show the collapse that admission prevents.
-func TestHoldingEverythingLosesTheGoodput(t *testing.T) {
+// Counter-check: without admission, the simulation shows the collapse of goodput
+// that admission prevents.
+func TestQueueingEverythingCollapsesGoodput(t *testing.T) {
 	s := base(2)
-	s.hold = true
+	s.queueAll = true
 	s.cfg.MaxWait, s.cfg.MaxQueued = time.Hour, 1<<30
 	sum := total(s.run())
 	t.Logf("hold, load 2x: %d in time, %d late", sum.good, sum.late)
 	require.Less(t, sum.good, sum.late)
 }
 
-// TestLargeOrganisationDoesNotStarveSmallOnes lets one organisation burst to
-// eight times the capacity while nine small ones use 2 % each.
+// One organisation bursts to eight times the capacity while nine small ones use
+// 2 % each.
 func TestLargeOrganisationDoesNotStarveSmallOnes(t *testing.T) {
 	p95 := map[bool]time.Duration{}
 	for _, burst := range []bool{false, true} {
@@ -238,8 +237,8 @@
 	require.Less(t, ratio, 1.5)
 }
 
-// TestUrgentAheadOfDrafts overloads with drafts threefold: urgent requests
-// are served nearly as if alone, and drafts keep nearly all that is left.
+// Drafts arrive at three times the capacity: urgent requests are served nearly as
+// if alone, and drafts get nearly all of the remaining capacity.
 func TestUrgentAheadOfDrafts(t *testing.T) {
 	s := base(1)
 	s.sources = []source{
@@ -260,8 +259,8 @@
 	require.GreaterOrEqual(t, share, 0.08)
 }
 
-// TestSlowerServiceIsLearned makes the backend servers three times slower at
-// half time under full load: the queue shrinks to what can still finish.
+// Under full load the backend servers become three times slower at half time: the
+// queue must shrink to the requests that can still finish in time.
 func TestSlowerServiceIsLearned(t *testing.T) {
 	s := base(1)
 	s.slowAt, s.slowBy = time.Minute, 3
