--- a/internal/routing/action.go
+++ b/internal/routing/action.go
@@ -1,10 +1,10 @@
 package routing
 
-// Action is what a step asks of its caller.
+// Action is what the caller of Step has to do: one of the types below.
 type Action interface{ isAction() }
 
-// StartWatch asks for a Watch stream to the agent at the address. For a VM
-// watched already it replaces the stream.
+// StartWatch opens a Watch stream to the agent at the address. For a VM that is
+// already watched it replaces the stream.
 type StartWatch struct {
 	VM   string
 	Addr string
@@ -13,14 +13,13 @@
 // StopWatch ends the Watch stream of a VM.
 type StopWatch struct{ VM string }
 
-// SetAside tells, for logs and metrics, that a backend server gets no more
-// requests for a while.
+// SetAside reports, for logs and metrics, that a backend server was ejected.
 type SetAside struct {
 	VM    string
-	Cause AsideCause
+	Cause EjectionCause
 }
 
-// PutBack tells that a backend server set aside gets its full share again.
+// PutBack reports that an ejected backend server gets its full share again.
 type PutBack struct{ VM string }
 
 func (StartWatch) isAction() {}
--- a/internal/routing/affinity.go
+++ b/internal/routing/affinity.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// hintSet remembers prefixes that a backend server is said to have cached.
-// It is replaced, never changed, so that views may share it.
+// hintSet holds the prefixes that a backend server reported as cached. It is
+// replaced, never changed, so that views may share it.
 type hintSet struct{ seen map[uint64]time.Time }
 
-// with returns the set after some cache events. Beyond the limit the oldest
-// hints go.
+// with returns the set after some cache events. The oldest hints beyond the limit
+// are removed.
 func (h hintSet) with(now time.Time, events []CacheEvent, cfg *Config) hintSet {
 	if len(events) == 0 {
 		return h
@@ -50,10 +50,9 @@
 	return ok && now.Sub(at) < ttl
 }
 
-// chooseByPrefix returns the backend server that the prefix belongs to:
-// the first in rendezvous order that is not loaded above the bound. A cache
-// hint only breaks the tie between the first two of them, since hints come
-// late and with gaps.
+// chooseByPrefix returns the backend server that owns the prefix: the first in
+// rendezvous order that is not loaded above the bound. A cache hint only decides
+// between the first two, since hints are late and incomplete.
 func chooseByPrefix(c *Candidates) *ServerView {
 	bound := c.affinityBound()
 	var first, second *ServerView
@@ -82,9 +81,9 @@
 	return a.VM < b.VM
 }
 
-// affinityBound is the utilisation up to which a backend server takes the
-// requests of its prefixes: a factor above the mean, the new request counted,
-// and never less than what leaves it enough room anyway.
+// affinityBound is the utilisation up to which a backend server gets the requests
+// of its prefixes: a multiple of the mean, the new request included, and at least
+// AffinityFree.
 func (c *Candidates) affinityBound() float64 {
 	load, slots := 1.0, 0.0
 	for _, s := range c.Servers {
--- a/internal/routing/event.go
+++ b/internal/routing/event.go
@@ -7,30 +7,30 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// Event is something that changes a table.
+// Event is an input of a table: one of the types below.
 type Event interface{ isEvent() }
 
-// ZonesChanged gives all declared zones.
+// ZonesChanged replaces all declared zones.
 type ZonesChanged struct{ Zones []inventory.Zone }
 
-// RulesChanged gives all rules and services; their versions are preferred
-// when a service has replicas live on several.
+// RulesChanged replaces all rules and services. The versions in rules are
+// preferred when a service has replicas live on several versions.
 type RulesChanged struct {
 	Rules    []inventory.Rule
 	Services []inventory.Service
 }
 
-// VMsChanged gives all declared VMs; drained ones get no new requests.
+// VMsChanged replaces all declared VMs. Drained ones get no new requests.
 type VMsChanged struct{ VMs []inventory.VM }
 
-// MemberChanged is a member as the feed has it.
+// MemberChanged adds or updates a member, as received from the feed.
 type MemberChanged struct{ Member inventory.Member }
 
 // MemberGone removes a member.
 type MemberGone struct{ VM string }
 
-// AgentState is one message of an agent's Watch stream. Messages that are
-// older than the last one taken are ignored.
+// AgentState is one message of an agent's Watch stream. Messages older than the
+// latest one applied are ignored.
 type AgentState struct {
 	VM          string
 	Incarnation uint64
@@ -39,46 +39,46 @@
 	Leaving     bool
 	// InFlight counts the requests of all entries.
 	InFlight int
-	// ReportedLoad is the backend server's own figure, late, as a share of
-	// its concurrency; below 0 it is unknown.
+	// ReportedLoad is the load that the backend server reports, with a delay,
+	// as a share of its concurrency; below 0 it is unknown.
 	ReportedLoad float64
-	// Concurrency is how many requests run at once; 0 is unknown.
+	// Concurrency is how many requests run at once; 0 if unknown.
 	Concurrency int
 	CacheEvents []CacheEvent
 }
 
-// CacheEvent hints that a prefix is, or is no longer, cached.
+// CacheEvent is a hint that a prefix was cached or evicted.
 type CacheEvent struct {
 	PrefixHash uint64
 	Evicted    bool
 }
 
-// WatchLost says that an agent's Watch stream broke.
+// WatchLost reports that an agent's Watch stream failed.
 type WatchLost struct{ VM string }
 
-// Tick lets time pass: at least once a second.
+// Tick runs outlier detection and updates the subsets; it is due at least once a
+// second.
 type Tick struct{}
 
-// Dispatched says that a request went to a backend server. ID tells the
-// requests in flight on one backend server apart.
+// Dispatched reports that a request went to a backend server. ID identifies it
+// among the requests in flight there.
 type Dispatched struct {
 	VM string
 	ID string
-	// Whole is true for an answer that comes in one piece at its end. The time
-	// to its first byte is that of the whole work: it is no latency sample,
-	// and the answer may wait longer than others before it counts as stalled.
+	// Whole is true for an answer that is not streamed. The time to its first
+	// byte is that of the whole request, so it is no latency sample, and the
+	// request may wait longer than others before it counts as stalled.
 	Whole bool
 }
 
-// Counted brings an agent's count of requests in progress, which comes with
-// its answers.
+// Counted is an agent's count of requests in flight, received with an answer.
 type Counted struct {
 	VM       string
 	InFlight int
 }
 
-// FirstToken says that the answer to a request has begun. Without it a long
-// stream looks like a request that still waits, until Finished.
+// FirstToken reports that the answer to a request has begun. Without it, a long
+// stream would count as waiting for its first token until Finished.
 type FirstToken struct {
 	VM      string
 	ID      string
@@ -90,15 +90,17 @@
 
 // The outcomes of a dispatched request.
 const (
-	// Completed requests were answered whole.
+	// Completed requests got a complete answer.
 	Completed Outcome = iota
-	// Failed requests ended in an error of the backend server, or unknown.
+	// Failed requests ended with an error of the backend server or with an
+	// unknown outcome.
 	Failed
-	// Cancelled requests were given up by the caller: no sign of health.
+	// Cancelled requests were given up by the caller; they say nothing about
+	// health.
 	Cancelled
 )
 
-// Finished ends a dispatched request that ran, or may have.
+// Finished ends a dispatched request that ran or may have run.
 type Finished struct {
 	VM      string
 	ID      string
@@ -117,9 +119,9 @@
 	NotRunLeaving NotRunReason = iota
 	// NotRunVersion: the version is not live there.
 	NotRunVersion
-	// NotRunFull: the backend server takes no more requests.
+	// NotRunFull: the backend server accepts no more requests.
 	NotRunFull
-	// NotRunUnreachable: the agent or its backend server did not take it.
+	// NotRunUnreachable: the agent or its backend server did not accept it.
 	NotRunUnreachable
 )
 
--- a/internal/routing/leaving_test.go
+++ b/internal/routing/leaving_test.go
@@ -9,16 +9,16 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// A completion that isn't streamed begins when it is done: waiting for it is
-// no early sign of a stall (see TestWholeAnswersAreGivenMoreTime), its time no
-// sign of slowness. A failure counts.
+// The first byte of an answer that is not streamed arrives when the answer is
+// complete: its time is no latency sample, and waiting for it is no early sign of
+// a stall (see TestWholeAnswersStallLater). A failure counts.
 func TestWholeAnswersAreNoLatencySamples(t *testing.T) {
-	b := newBed(t, 4, Config{})
+	b := newTestTable(t, 4, Config{})
 	b.serveAll(4, 6, nil)
 	for _, id := range []string{"x", "y", "z"} {
 		b.step(Dispatched{VM: "s1", ID: id, Whole: true})
 	}
-	b.beat(4, 3*time.Second)
+	b.advanceWithHeartbeats(4, 3*time.Second)
 	require.Empty(t, b.step(Tick{}))
 	latency := b.table.servers["s1"].health.latency
 	for _, id := range []string{"x", "y", "z"} {
@@ -30,13 +30,13 @@
 		b.step(Dispatched{VM: "s1", ID: "f", Whole: true})
 		b.step(Finished{VM: "s1", ID: "f", Outcome: Failed})
 	}
-	require.Equal(t, []Action{SetAside{"s1", AsideFailing}}, b.step(Tick{}))
+	require.Equal(t, []Action{SetAside{"s1", EjectedFailing}}, b.step(Tick{}))
 }
 
-// A drained VM gets nothing, whatever its agent says or fails to say, also
-// when it announces itself only after the drain.
+// A drained VM gets no requests, whatever its agent reports, also if it joins only
+// after the drain.
 func TestDrainedVMIsNotPicked(t *testing.T) {
-	b := newBed(t, 2, Config{})
+	b := newTestTable(t, 2, Config{})
 	b.step(VMsChanged{[]inventory.VM{{Name: "s0", Drained: true}, {Name: "s1"}, {Name: "s2", Drained: true}}})
 	b.step(MemberChanged{member(2, inventory.MemberUp)})
 	b.state(2, "v1")
@@ -46,10 +46,10 @@
 	require.Equal(t, 100, b.picks(100, Request{Model: "m"})["s0"])
 }
 
-// What Pick takes as a last resort is room, else nobody would be let in to
-// try it.
+// An ejected backend server that Pick uses as a last resort counts as capacity;
+// otherwise admission would refuse every request for it.
 func TestRoomOfTheLastResort(t *testing.T) {
-	b := newBed(t, 2, Config{})
+	b := newTestTable(t, 2, Config{})
 	b.serveAll(2, 6, map[int]bool{1: true})
 	b.state(0, "")
 	request := Request{Service: "chat", Model: "m"}
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// loadEstimate is the load that others put on a backend server, in requests,
-// as it reports it itself. Own requests are counted exactly and left out.
+// loadEstimate is the load of a backend server by its own report, in requests,
+// without those of this entry, which are counted exactly.
 type loadEstimate struct {
-	// reported is the backend server's late figure less this entry's own
-	// requests, and reportedAt when that figure last changed: one that stays
-	// the same in message after message loses its weight.
+	// reported is the reported load less this entry's own requests, and
+	// reportedAt when the report last changed: a report that stays the same in
+	// successive messages decays.
 	reported   float64
 	reportedAt time.Time
 }
@@ -27,12 +27,12 @@
 	l.reportedAt = now
 }
 
-// now estimates the reported load of others now.
+// now returns the reported load with its weight by age.
 func (l *loadEstimate) now(now time.Time, halfLife time.Duration) float64 {
 	return l.reported * decay(now.Sub(l.reportedAt), halfLife)
 }
 
-// decay is the weight left of a figure of that age.
+// decay returns the weight of a value of the given age.
 func decay(age, halfLife time.Duration) float64 {
 	if age <= 0 {
 		return 1
--- a/internal/routing/nearness.go
+++ b/internal/routing/nearness.go
@@ -1,6 +1,6 @@
 package routing
 
-// distance orders places as seen from an entry.
+// distance orders backend servers by locality as seen from an entry.
 type distance int
 
 const (
@@ -20,10 +20,10 @@
 	}
 }
 
-// near narrows the candidates to the nearest group that has room: the zone,
-// the region, or all. A small group is widened, so that one slow neighbour
-// does not get everything.
-func (c *Candidates) near() []*ServerView {
+// nearest returns the candidates of the nearest group with free capacity: the
+// zone, the region, or all. A group with fewer than MinNear members is skipped,
+// so that a single slow neighbour does not get all requests.
+func (c *Candidates) nearest() []*ServerView {
 	for limit := sameZone; limit < farAway; limit++ {
 		group := make([]*ServerView, 0, len(c.Servers))
 		load, slots := 0.0, 0.0
@@ -35,7 +35,7 @@
 			load += s.load(c.Now)
 			slots += s.slots()
 		}
-		if len(group) >= c.cfg.MinNear && load < c.cfg.SpillAt*slots {
+		if len(group) >= c.cfg.MinNear && load < c.cfg.SpillUtilisation*slots {
 			return group
 		}
 	}
--- a/internal/routing/outlier.go
+++ b/internal/routing/outlier.go
@@ -5,42 +5,44 @@
 	"time"
 )
 
-// OutlierConfig says when a backend server that is up but does worse than
-// its peers is set aside, and how it is tried again.
+// OutlierConfig configures when a backend server that does worse than its peers
+// is ejected, and how it is probed afterwards.
 type OutlierConfig struct {
 	// Smoothing is the weight of a new sample in the moving averages.
 	Smoothing float64
-	// MinSamples is how many samples a judgement needs.
+	// MinSamples is the number of samples needed to compare a backend server.
 	MinSamples int
-	// LatencyFactor over the peers' median first-token time, and
-	// LatencySlack above it, make a backend server slow.
+	// A backend server is slow if its first-token time exceeds LatencyFactor
+	// times the peers' median plus LatencySlack.
 	LatencyFactor float64
 	LatencySlack  time.Duration
-	// StallFactor over the median makes a waiting request overdue; two
-	// overdue requests make a backend server stalled.
+	// StallFactor times the median plus LatencySlack is the wait for the first
+	// token after which a request is overdue; a backend server with two overdue
+	// requests is stalled.
 	StallFactor float64
-	// WholeStallFactor and WholeStallMin take its place for answers that
-	// come in one piece, whose work differs much more.
+	// WholeStallFactor times the median, but at least WholeStallMin, replaces
+	// it for answers that are not streamed, whose duration varies much more.
 	WholeStallFactor float64
 	WholeStallMin    time.Duration
-	// ErrorRatio is the least share of failures that counts as failing.
+	// A backend server is failing if its share of failures exceeds ErrorRatio
+	// and LatencyFactor times the peers' median.
 	ErrorRatio float64
-	// MaxAside is the largest share of a service's watched backend servers
-	// that is set aside at once; one of two may always be.
-	MaxAside float64
-	// Backoff is how long the first setting aside lasts; each further one
-	// is twice as long, up to MaxBackoff.
+	// MaxEjectedShare bounds the share of a service's watched backend servers
+	// that is ejected at once; one may always be, if there are at least two.
+	MaxEjectedShare float64
+	// Backoff is the duration of the first ejection; each further one lasts
+	// twice as long, up to MaxBackoff.
 	Backoff    time.Duration
 	MaxBackoff time.Duration
-	// ProbeShare is the share of requests that a tried one begins with; it
-	// doubles with each good answer. ProbeEvery is the time between probes.
-	ProbeShare float64
-	ProbeEvery time.Duration
-	// Disabled turns the judgement off.
+	// ProbeShare is the share of requests at which probing begins; it doubles
+	// with each good answer. ProbeInterval is the time between probes.
+	ProbeShare    float64
+	ProbeInterval time.Duration
+	// Disabled turns outlier detection off.
 	Disabled bool
 }
 
-// DefaultOutlierConfig returns the settings in use.
+// DefaultOutlierConfig returns the default settings.
 func DefaultOutlierConfig() OutlierConfig {
 	return OutlierConfig{
 		Smoothing:     0.2,
@@ -52,12 +54,12 @@
 		WholeStallFactor: 100,
 		WholeStallMin:    2 * time.Minute,
 
-		ErrorRatio: 0.3,
-		MaxAside:   0.3,
-		Backoff:    10 * time.Second,
-		MaxBackoff: 2 * time.Minute,
-		ProbeShare: 0.05,
-		ProbeEvery: time.Second,
+		ErrorRatio:      0.3,
+		MaxEjectedShare: 0.3,
+		Backoff:         10 * time.Second,
+		MaxBackoff:      2 * time.Minute,
+		ProbeShare:      0.05,
+		ProbeInterval:   time.Second,
 	}
 }
 
@@ -71,48 +73,48 @@
 	c.WholeStallFactor = orDefault(c.WholeStallFactor, d.WholeStallFactor)
 	c.WholeStallMin = orDefault(c.WholeStallMin, d.WholeStallMin)
 	c.ErrorRatio = orDefault(c.ErrorRatio, d.ErrorRatio)
-	c.MaxAside = orDefault(c.MaxAside, d.MaxAside)
+	c.MaxEjectedShare = orDefault(c.MaxEjectedShare, d.MaxEjectedShare)
 	c.Backoff = orDefault(c.Backoff, d.Backoff)
 	c.MaxBackoff = orDefault(c.MaxBackoff, d.MaxBackoff)
 	c.ProbeShare = orDefault(c.ProbeShare, d.ProbeShare)
-	c.ProbeEvery = orDefault(c.ProbeEvery, d.ProbeEvery)
+	c.ProbeInterval = orDefault(c.ProbeInterval, d.ProbeInterval)
 	return c
 }
 
-// AsideCause is why a backend server was set aside.
-type AsideCause string
+// EjectionCause is why a backend server was ejected.
+type EjectionCause string
 
 // The causes.
 const (
-	AsideSlow    AsideCause = "slow"
-	AsideFailing AsideCause = "failing"
-	AsideStalled AsideCause = "stalled"
+	EjectedSlow    EjectionCause = "slow"
+	EjectedFailing EjectionCause = "failing"
+	EjectedStalled EjectionCause = "stalled"
 )
 
-// healthPhase is where a backend server stands in the judgement.
+// healthPhase is the state of a backend server in outlier detection.
 type healthPhase int
 
 const (
 	phaseHealthy healthPhase = iota
-	phaseAside
+	phaseEjected
 	phaseProbing
 )
 
-// health is how a backend server did in this entry's own requests.
+// health describes a backend server by the results of this entry's own requests.
 type health struct {
 	phase healthPhase
 	// latency is the moving average of the first-token time, in seconds.
 	latency float64
 	// errors is the moving average of the share of failures.
-	errors  float64
-	samples int
-	until   time.Time
-	backoff time.Duration
-	share   float64
+	errors       float64
+	samples      int
+	ejectedUntil time.Time
+	backoff      time.Duration
+	probeShare   float64
 }
 
-// observe adds one sample; a failure has no latency.
-func (h *health) observe(latency time.Duration, failed bool, cfg *OutlierConfig) {
+// recordSample adds one sample; a failure has no latency.
+func (h *health) recordSample(latency time.Duration, failed bool, cfg *OutlierConfig) {
 	h.samples++
 	if failed {
 		h.errors += cfg.Smoothing * (1 - h.errors)
@@ -129,44 +131,44 @@
 	h.latency += cfg.Smoothing * (latency.Seconds() - h.latency)
 }
 
-func (h *health) setAside(now time.Time, cfg *OutlierConfig) {
+func (h *health) eject(now time.Time, cfg *OutlierConfig) {
 	h.backoff = min(max(2*h.backoff, cfg.Backoff), cfg.MaxBackoff)
-	h.phase = phaseAside
-	h.until = now.Add(h.backoff)
+	h.phase = phaseEjected
+	h.ejectedUntil = now.Add(h.backoff)
 }
 
-// probed judges one answer of a backend server that is being tried. It
-// reports whether the server is back to its full share.
-func (h *health) probed(now time.Time, latency time.Duration, failed bool, peers peerFigures, cfg *OutlierConfig) bool {
+// recordProbe evaluates one answer of a backend server that is being probed. It
+// reports whether the server gets its full share again.
+func (h *health) recordProbe(now time.Time, latency time.Duration, failed bool, peers peerStats, cfg *OutlierConfig) bool {
 	if failed || peers.isSlow(latency.Seconds(), cfg) {
-		h.setAside(now, cfg)
+		h.eject(now, cfg)
 		return false
 	}
-	h.share *= 2
-	if h.share < 1 {
+	h.probeShare *= 2
+	if h.probeShare < 1 {
 		return false
 	}
 	*h = health{backoff: h.backoff}
 	return true
 }
 
-// peerFigures are the medians over a service's healthy backend servers.
-type peerFigures struct {
+// peerStats holds the medians over a service's healthy backend servers.
+type peerStats struct {
 	latency float64
 	errors  float64
 	known   bool
 }
 
-func (p peerFigures) isSlow(latency float64, cfg *OutlierConfig) bool {
+func (p peerStats) isSlow(latency float64, cfg *OutlierConfig) bool {
 	return p.known && latency > cfg.LatencyFactor*p.latency+cfg.LatencySlack.Seconds()
 }
 
-func (p peerFigures) isFailing(errors float64, cfg *OutlierConfig) bool {
+func (p peerStats) isFailing(errors float64, cfg *OutlierConfig) bool {
 	return errors > max(cfg.ErrorRatio, cfg.LatencyFactor*p.errors)
 }
 
-// lowerMedian returns the median, the lower of two for an even count: of two
-// backend servers the better one is the measure.
+// lowerMedian returns the median, the lower one for an even count: of two backend
+// servers, the better one is the reference.
 func lowerMedian(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -175,7 +177,7 @@
 	return values[(len(values)-1)/2]
 }
 
-func figures(servers []*server, cfg *OutlierConfig) peerFigures {
+func computePeerStats(servers []*server, cfg *OutlierConfig) peerStats {
 	var latencies, errors []float64
 	for _, s := range servers {
 		if s.health.phase != phaseHealthy || s.health.samples < cfg.MinSamples {
@@ -186,26 +188,27 @@
 			latencies = append(latencies, s.health.latency)
 		}
 	}
-	return peerFigures{lowerMedian(latencies), lowerMedian(errors), len(latencies) > 0}
+	return peerStats{lowerMedian(latencies), lowerMedian(errors), len(latencies) > 0}
 }
 
-// verdict says whether a healthy backend server does worse than its peers.
-func (s *server) verdict(now time.Time, peers peerFigures, cfg *OutlierConfig) (AsideCause, bool) {
+// outlierCause returns why a healthy backend server is an outlier among its
+// peers, and whether it is.
+func (s *server) outlierCause(now time.Time, peers peerStats, cfg *OutlierConfig) (EjectionCause, bool) {
 	enough := s.health.samples >= cfg.MinSamples
 	switch {
 	case enough && peers.isFailing(s.health.errors, cfg):
-		return AsideFailing, true
+		return EjectedFailing, true
 	case enough && peers.isSlow(s.health.latency, cfg):
-		return AsideSlow, true
+		return EjectedSlow, true
 	case peers.known && s.overdue(now, peers, cfg) >= 2:
-		return AsideStalled, true
+		return EjectedStalled, true
 	default:
 		return "", false
 	}
 }
 
-// overdue counts the requests that wait too long for their first token.
-func (s *server) overdue(now time.Time, peers peerFigures, cfg *OutlierConfig) int {
+// overdue counts the requests that have waited too long for their first token.
+func (s *server) overdue(now time.Time, peers peerStats, cfg *OutlierConfig) int {
 	limit := cfg.StallFactor*peers.latency + cfg.LatencySlack.Seconds()
 	wholeLimit := max(cfg.WholeStallFactor*peers.latency, cfg.WholeStallMin.Seconds())
 	n := 0
@@ -221,22 +224,22 @@
 	return n
 }
 
-// judge sets outliers of one service aside, within the bounded share, and
-// begins to try those whose time has passed.
-func judge(now time.Time, servers []*server, peers peerFigures, cfg *OutlierConfig) []Action {
+// ejectOutliers ejects outliers of one service, up to the bounded share, and
+// begins to probe those whose ejection time has passed.
+func ejectOutliers(now time.Time, servers []*server, peers peerStats, cfg *OutlierConfig) []Action {
 	if cfg.Disabled || len(servers) < 2 {
 		return nil
 	}
-	allowed := max(1, int(cfg.MaxAside*float64(len(servers))))
+	allowed := max(1, int(cfg.MaxEjectedShare*float64(len(servers))))
 	var actions []Action
 	for _, s := range servers {
 		if s.health.phase == phaseHealthy {
 			continue
 		}
 		allowed--
-		if s.health.phase == phaseAside && !now.Before(s.health.until) {
+		if s.health.phase == phaseEjected && !now.Before(s.health.ejectedUntil) {
 			s.health.phase = phaseProbing
-			s.health.share = cfg.ProbeShare
+			s.health.probeShare = cfg.ProbeShare
 		}
 	}
 	for _, s := range servers {
@@ -246,8 +249,8 @@
 		if s.health.phase != phaseHealthy {
 			continue
 		}
-		if cause, bad := s.verdict(now, peers, cfg); bad {
-			s.health.setAside(now, cfg)
+		if cause, bad := s.outlierCause(now, peers, cfg); bad {
+			s.health.eject(now, cfg)
 			actions = append(actions, SetAside{s.member.VM, cause})
 			allowed--
 		}
@@ -255,15 +258,15 @@
 	return actions
 }
 
-// dueProbe returns a backend server on trial that has no request of this
-// entry in flight and has not been tried for a while.
+// dueProbe returns a backend server being probed that has no request of this
+// entry in flight and got the last one at least ProbeInterval ago.
 func dueProbe(c *Candidates) *ServerView {
 	for _, s := range c.Servers {
 		if s.phase != phaseProbing || s.count.inFlight.Load() > 0 {
 			continue
 		}
 		last := time.Unix(0, s.count.lastDispatch.Load())
-		if c.Now.Sub(last) >= c.cfg.Outlier.ProbeEvery {
+		if c.Now.Sub(last) >= c.cfg.Outlier.ProbeInterval {
 			return s
 		}
 	}
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Rand is the source of random numbers of a pick, seeded by its owner.
+// Rand is the source of random numbers of a pick, seeded by the caller.
 type Rand = *rand.Rand
 
-// Request is what a pick depends on.
+// Request describes a request to Pick.
 type Request struct {
 	Service string
 	// Model is empty for plain services.
 	Model string
-	// Version pins the request; if empty any live one is picked.
+	// Version pins the request to a version; if empty, any live one will do.
 	Version string
 	// Prefix is the hash of the prompt's prefix; 0 for none.
 	Prefix uint64
-	// Zone of the entry; the table's own if empty.
+	// Zone of the entry; if empty, that of the table's Config.
 	Zone string
 	// Whole is passed on to Dispatched.
 	Whole bool
-	// Excluded VMs are not picked, as after a failed try.
+	// Excluded VMs are not picked, such as those of failed attempts.
 	Excluded []string
 }
 
@@ -32,15 +32,16 @@
 	VM          string
 	Addr        string
 	Incarnation uint64
-	// Version is what the request is pinned to; empty for plain services.
-	Version string
-	Ground  Ground
-	// LastResort is true when only backend servers that are set aside are
-	// live.
+	// Version is the version that the request is pinned to; empty for plain
+	// services.
+	Version    string
+	SelectedBy SelectedBy
+	// LastResort is true if the backend server is ejected and was picked
+	// because all live ones are.
 	LastResort bool
 }
 
-// Reason says why no backend server was picked.
+// Reason is why no backend server was picked.
 type Reason string
 
 // The reasons; Picked is the zero value.
@@ -48,27 +49,27 @@
 	Picked Reason = ""
 	// ReasonNoneAnnounced: no backend server announced the service.
 	ReasonNoneAnnounced Reason = "no backend server announced"
-	// ReasonNoneHeard: the watched ones are silent.
-	ReasonNoneHeard Reason = "no backend server heard from"
+	// ReasonNoneReachable: no watched one has sent a message recently.
+	ReasonNoneReachable Reason = "no backend server heard from"
 	// ReasonNoneLive: the model or version is live on none.
 	ReasonNoneLive Reason = "none live on the version"
 	// ReasonAllLeaving: all of them are leaving.
 	ReasonAllLeaving Reason = "all leaving"
-	// ReasonAllExcluded: the request has tried all of them.
+	// ReasonAllExcluded: the request excludes all of them.
 	ReasonAllExcluded Reason = "all excluded"
-	// ReasonAllAside: those the request has not tried are set aside.
+	// ReasonAllAside: those that the request does not exclude are ejected.
 	ReasonAllAside Reason = "all set aside"
-	// ReasonFull: all have as many requests as they run at once.
+	// ReasonFull: none has a free slot.
 	ReasonFull Reason = "full"
 )
 
-// tally sorts a service's backend servers for one pick.
+// tally classifies a service's backend servers for one pick.
 type tally struct {
 	leaving, silent, notLive, excluded int
-	usable, aside                      []*ServerView
+	usable, ejected                    []*ServerView
 }
 
-// Pick chooses a backend server for a request. It changes nothing: the caller
+// Pick chooses a backend server for a request. It modifies nothing: the caller
 // reports a dispatch with Dispatched.
 func (v *View) Pick(now time.Time, req Request, rng Rand) (Choice, Reason) {
 	if req.Zone == "" {
@@ -80,7 +81,7 @@
 		return Choice{}, reason
 	}
 	lastResort := len(t.usable) == 0
-	servers = v.withRoom(now, req, servers)
+	servers = v.withFreeSlots(now, req, servers)
 	if len(servers) == 0 {
 		return Choice{}, ReasonFull
 	}
@@ -91,7 +92,7 @@
 		Addr:        s.Addr,
 		Incarnation: s.Incarnation,
 		Version:     v.versionOn(s, req),
-		Ground:      ground,
+		SelectedBy:  ground,
 		LastResort:  lastResort,
 	}, Picked
 }
@@ -109,27 +110,28 @@
 			t.notLive++
 		case slices.Contains(req.Excluded, s.VM):
 			t.excluded++
-		case s.phase == phaseAside:
-			t.aside = append(t.aside, s)
+		case s.phase == phaseEjected:
+			t.ejected = append(t.ejected, s)
 		default:
 			t.usable = append(t.usable, s)
 		}
 	}
-	t.usable = withoutSuspects(t.usable)
+	t.usable = preferConnected(t.usable)
 	return t
 }
 
-// withoutSuspects leaves out those whose watch broke, if others are left.
-func withoutSuspects(servers []*ServerView) []*ServerView {
-	isSuspect := func(s *ServerView) bool { return s.suspect }
+// preferConnected returns the backend servers whose connection is not lost, or
+// all if there are none.
+func preferConnected(servers []*ServerView) []*ServerView {
+	isSuspect := func(s *ServerView) bool { return s.connectionLost }
 	if !slices.ContainsFunc(servers, isSuspect) {
 		return servers
 	}
-	sure := slices.DeleteFunc(slices.Clone(servers), isSuspect)
-	if len(sure) == 0 {
+	connected := slices.DeleteFunc(slices.Clone(servers), isSuspect)
+	if len(connected) == 0 {
 		return servers
 	}
-	return sure
+	return connected
 }
 
 func (s *ServerView) servesRequest(req Request) bool {
@@ -147,53 +149,56 @@
 	return false
 }
 
-// servers returns those to choose from, or why there are none. Ones set
-// aside are used only where nothing else is live at all.
+// servers returns the backend servers to choose from, or the reason why there are
+// none. Ejected ones are used only if nothing else is live and the request
+// excludes none.
 func (t *tally) servers(announced int) ([]*ServerView, Reason) {
 	switch {
 	case len(t.usable) > 0:
 		return t.usable, Picked
-	case len(t.aside) > 0 && t.excluded == 0:
-		return t.aside, Picked
-	case len(t.aside) > 0:
+	case len(t.ejected) > 0 && t.excluded == 0:
+		return t.ejected, Picked
+	case len(t.ejected) > 0:
 		return nil, ReasonAllAside
 	case t.excluded > 0:
 		return nil, ReasonAllExcluded
 	case t.notLive > 0:
 		return nil, ReasonNoneLive
 	case t.silent > 0:
-		return nil, ReasonNoneHeard
+		return nil, ReasonNoneReachable
 	case announced == 0:
 		return nil, ReasonNoneAnnounced
 	case t.leaving == announced:
 		return nil, ReasonAllLeaving
 	default:
-		return nil, ReasonNoneHeard
+		return nil, ReasonNoneReachable
 	}
 }
 
-// withRoom narrows to backend servers with a free slot; without a pinned
-// version those on a version that rules ask for come first.
-func (v *View) withRoom(now time.Time, req Request, servers []*ServerView) []*ServerView {
-	asked := make([]*ServerView, 0, len(servers))
+// withFreeSlots returns the backend servers with a free slot. For a request
+// without a pinned version, it returns only those live on a preferred version, if
+// there are any.
+func (v *View) withFreeSlots(now time.Time, req Request, servers []*ServerView) []*ServerView {
+	preferred := make([]*ServerView, 0, len(servers))
 	var other []*ServerView
 	pinned := req.Model == "" || req.Version != ""
 	for _, s := range servers {
 		switch {
 		case s.full(now):
 		case pinned || v.preferred[Version{req.Model, v.versionOn(s, req)}]:
-			asked = append(asked, s)
+			preferred = append(preferred, s)
 		default:
 			other = append(other, s)
 		}
 	}
-	if len(asked) == 0 {
+	if len(preferred) == 0 {
 		return other
 	}
-	return asked
+	return preferred
 }
 
-// versionOn is the version a request would be pinned to on a backend server.
+// versionOn returns the version that a request would be pinned to on a backend
+// server.
 func (v *View) versionOn(s *ServerView, req Request) string {
 	if req.Model == "" || req.Version != "" {
 		return req.Version
@@ -211,23 +216,23 @@
 	return version
 }
 
-// Room is how much a service can take, as this entry sees it.
+// Room is the capacity of a service as this entry estimates it.
 type Room struct {
 	// Servers counts the backend servers that may be picked.
 	Servers int
-	// Slots is their concurrency, Own what this entry uses of it.
+	// Slots is the sum of their slots, and Own the number of this entry's
+	// requests in flight there.
 	Slots int
 	Own   int
-	// Free is what is left of it, which other entries see as well. Below 0 it
-	// is this entry's part of what the backend servers have too much.
+	// Free is the number of free slots; other entries may take the same ones.
+	// Below 0 it is this entry's part of the requests beyond the slots.
 	Free int
 }
 
-// Room sums over what a request might be sent to, ones set aside only where
-// Pick would take them too. Warming ones count with their share. What is taken
-// is counted by this entry and the agents: the load that backend servers report
-// is late, and would count this entry's own requests of a moment ago as those
-// of others.
+// Room sums over the backend servers that Pick chooses from. One that is warming
+// up or being probed counts with its share. Slots in use are counted by this entry
+// and the agents, not by the load that backend servers report: that is late, and
+// would count this entry's own recent requests as those of others.
 func (v *View) Room(now time.Time, req Request) Room {
 	var room Room
 	over := 0.0
@@ -237,12 +242,12 @@
 		room.Servers++
 		room.Own += int(s.count.inFlight.Load())
 		room.Slots += int(slots)
-		left := slots - s.counted(now)
+		left := slots - s.countedLoad(now)
 		if left >= 0 {
 			room.Free += int(math.Round(left))
 			continue
 		}
-		over += left * float64(s.count.inFlight.Load()) / s.counted(now)
+		over += left * float64(s.count.inFlight.Load()) / s.countedLoad(now)
 	}
 	room.Free += int(math.Round(over))
 	return room
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -7,7 +7,7 @@
 )
 
 // Candidates are backend servers that may each take the request: announced,
-// heard from, live on the version, with a free slot. There is at least one.
+// reachable, live on the version, with a free slot. There is at least one.
 type Candidates struct {
 	Request Request
 	Servers []*ServerView
@@ -16,72 +16,73 @@
 	cfg     *Config
 }
 
-// Policy chooses one of the candidates. It is called by many goroutines.
+// Policy chooses one of the candidates. It must be safe for concurrent use.
 type Policy interface {
-	Choose(c *Candidates, rng *rand.Rand) (*ServerView, Ground)
+	Choose(c *Candidates, rng *rand.Rand) (*ServerView, SelectedBy)
 }
 
-// Ground tells, for metrics, why a backend server was chosen.
-type Ground string
+// SelectedBy is the rule by which a policy chose a backend server.
+type SelectedBy string
 
-// The grounds of a choice.
+// The rules of the policies below.
 const (
-	GroundOnly       Ground = "only"
-	GroundProbe      Ground = "probe"
-	GroundPrefix     Ground = "prefix"
-	GroundTwoChoices Ground = "two_choices"
-	GroundBaseline   Ground = "baseline"
+	SelectedAsOnlyCandidate SelectedBy = "only"
+	SelectedByProbe         SelectedBy = "probe"
+	SelectedByPrefix        SelectedBy = "prefix"
+	SelectedByTwoChoices    SelectedBy = "two_choices"
+	SelectedByBaseline      SelectedBy = "baseline"
 )
 
-// Balanced is the policy in use: a probe that is due, else the owner of the
-// request's prefix, else the better of two near backend servers.
+// Balanced is the default policy. It chooses an ejected backend server that is
+// due for a probe, else the owner of the request's prefix, else the better of two
+// random ones nearby.
 type Balanced struct{}
 
 // Choose implements Policy.
-func (Balanced) Choose(c *Candidates, rng *rand.Rand) (*ServerView, Ground) {
+func (Balanced) Choose(c *Candidates, rng *rand.Rand) (*ServerView, SelectedBy) {
 	if len(c.Servers) == 1 {
-		return c.Servers[0], GroundOnly
+		return c.Servers[0], SelectedAsOnlyCandidate
 	}
 	if s := dueProbe(c); s != nil {
-		return s, GroundProbe
+		return s, SelectedByProbe
 	}
 	if c.Request.Prefix != 0 {
 		if s := chooseByPrefix(c); s != nil {
-			return s, GroundPrefix
+			return s, SelectedByPrefix
 		}
 	}
-	return betterOfTwo(c, c.near(), rng), GroundTwoChoices
+	return betterOfTwo(c, c.nearest(), rng), SelectedByTwoChoices
 }
 
-// TwoChoices is Balanced without prefixes, nearness and probes.
+// TwoChoices is Balanced without probes, prefixes and locality.
 type TwoChoices struct{}
 
 // Choose implements Policy.
-func (TwoChoices) Choose(c *Candidates, rng *rand.Rand) (*ServerView, Ground) {
-	return betterOfTwo(c, c.Servers, rng), GroundTwoChoices
+func (TwoChoices) Choose(c *Candidates, rng *rand.Rand) (*ServerView, SelectedBy) {
+	return betterOfTwo(c, c.Servers, rng), SelectedByTwoChoices
 }
 
-// Random is a baseline.
+// Random chooses at random, as a baseline for comparison.
 type Random struct{}
 
 // Choose implements Policy.
-func (Random) Choose(c *Candidates, rng *rand.Rand) (*ServerView, Ground) {
-	return c.Servers[rng.IntN(len(c.Servers))], GroundBaseline
+func (Random) Choose(c *Candidates, rng *rand.Rand) (*ServerView, SelectedBy) {
+	return c.Servers[rng.IntN(len(c.Servers))], SelectedByBaseline
 }
 
-// RoundRobin is a baseline.
+// RoundRobin chooses in turn, as a baseline for comparison.
 type RoundRobin struct{ next atomic.Uint64 }
 
 // Choose implements Policy.
-func (r *RoundRobin) Choose(c *Candidates, _ *rand.Rand) (*ServerView, Ground) {
-	return c.Servers[(r.next.Add(1)-1)%uint64(len(c.Servers))], GroundBaseline
+func (r *RoundRobin) Choose(c *Candidates, _ *rand.Rand) (*ServerView, SelectedBy) {
+	return c.Servers[(r.next.Add(1)-1)%uint64(len(c.Servers))], SelectedByBaseline
 }
 
-// betterOfTwo draws two backend servers and takes the one with less cost.
+// betterOfTwo draws two backend servers and returns the one with the lower cost.
 func betterOfTwo(c *Candidates, from []*ServerView, rng *rand.Rand) *ServerView {
 	a := draw(c, from, nil, rng)
 	if a == nil {
-		return warmest(c, from)
+		return highestShare(c, from)
 	}
 	b := draw(c, from, a, rng)
 	if b == nil || a.cost(c.Now) <= b.cost(c.Now) {
@@ -90,11 +91,11 @@
 	return b
 }
 
-// maxDraws bounds how often a draw may fall on one with a reduced share.
+// maxDraws bounds the random choices of one draw.
 const maxDraws = 4
 
-// draw returns a random backend server other than not, or nil. One with a
-// reduced share is passed over in proportion.
+// draw returns a random backend server other than not, or nil if it finds none.
+// One with a share below 1 is accepted with that probability.
 func draw(c *Candidates, from []*ServerView, not *ServerView, rng *rand.Rand) *ServerView {
 	for range maxDraws {
 		s := from[rng.IntN(len(from))]
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// warmest returns the backend server with the highest share.
-func warmest(c *Candidates, from []*ServerView) *ServerView {
+// highestShare returns the backend server with the highest share.
+func highestShare(c *Candidates, from []*ServerView) *ServerView {
 	best := from[0]
 	for _, s := range from[1:] {
 		if s.share(c.Now) > best.share(c.Now) {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Router makes a Table safe for concurrent use: steps take a short lock,
-// picks read a snapshot without one.
+// Router makes a Table safe for concurrent use: steps hold a lock for a short
+// time, picks read a snapshot without it.
 type Router struct {
-	// fresh is the snapshot last made.
-	fresh atomic.Pointer[View]
-	// stale says that a step has changed the table since. The next reader
+	// latest is the latest snapshot.
+	latest atomic.Pointer[View]
+	// stale is true if a step has changed the table since. The next reader
 	// makes a new snapshot, so that the heartbeats of many agents between two
-	// requests cost one.
+	// requests cost only one.
 	stale atomic.Bool
 	mu    sync.Mutex
 	table *Table
@@ -23,11 +23,11 @@
 // NewRouter returns a router over an empty table.
 func NewRouter(cfg Config) *Router {
 	r := &Router{table: NewTable(cfg)}
-	r.fresh.Store(r.table.View())
+	r.latest.Store(r.table.View())
 	return r
 }
 
-// Step applies one event and returns what has to be done for it.
+// Step applies one event and returns the resulting actions.
 func (r *Router) Step(now time.Time, event Event) []Action {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,15 +38,15 @@
 	return actions
 }
 
-// maxAttempts bounds how often Acquire picks again when others took the slot
-// in the meantime; after that it overfills one. A backend server that is
-// leaving is never taken: the next snapshot is without it.
+// maxAttempts bounds the picks of one Acquire when concurrent callers take the
+// last slot first; the last pick may exceed the slots of a backend server. A
+// backend server that is leaving is never acquired: the next snapshot excludes it.
 const maxAttempts = 3
 
 // Acquire picks a backend server and counts the request as dispatched, so
 // that concurrent picks see it. Finished or NotRun with the same id must
-// follow. The top-level source of math/rand is used: it is safe for
-// concurrent use, and only the pure Pick needs a seeded one.
+// follow. It uses the top-level source of math/rand, which is safe for concurrent
+// use; only Pick, which is deterministic, takes a seeded source.
 func (r *Router) Acquire(now time.Time, id string, req Request) (Choice, Reason) {
 	rng := rand.New(globalSource{})
 	for attempt := 1; ; attempt++ {
@@ -61,8 +61,9 @@
 	}
 }
 
-// dispatch counts the request, unless the backend server is leaving or gone
-// since the snapshot was made, or its slots are and force is not set.
+// dispatch counts the request, unless the backend server has begun to leave or
+// was removed since the snapshot was made, or has no free slot and force is not
+// set.
 func (r *Router) dispatch(now time.Time, id string, whole bool, choice Choice, force bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,16 +78,17 @@
 	return true
 }
 
-// View returns the present snapshot, for Pick without dispatch and for Room.
+// View returns the current snapshot, for Pick without dispatch and for Room.
 func (r *Router) View() *View {
 	if !r.stale.Load() {
-		return r.fresh.Load()
+		return r.latest.Load()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.table.View()
-	r.fresh.Store(v)
-	// Only now: a reader that sees no mark must find the new snapshot.
+	r.latest.Store(v)
+	// After the store above: a reader that finds stale unset must see the new
+	// snapshot.
 	r.stale.Store(false)
 	return v
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -12,7 +12,7 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// newRouter has n backend servers with so many slots each.
+// newRouter returns a router with n backend servers of the given slots.
 func newRouter(n, slots int) *Router {
 	r := NewRouter(Config{Entry: "e", Zone: "a1"})
 	for i := range n {
@@ -22,8 +22,8 @@
 	return r
 }
 
-// Concurrent callers take all slots and, within the race that the last try
-// may lose, no more; afterwards nothing is left in flight.
+// Concurrent callers acquire all slots and exceed them only by the last picks of
+// Acquire; afterwards nothing is left in flight.
 func TestRouterUnderConcurrency(t *testing.T) {
 	r := newRouter(4, 8)
 	var mu sync.Mutex
@@ -56,21 +56,21 @@
 	}
 }
 
-// Steps make no snapshot, the next reader makes one for all of them.
+// Steps make no snapshot; the next reader makes one for all of them.
 func TestOneSnapshotForManySteps(t *testing.T) {
 	r := newRouter(2, 1)
 	before := r.View()
 	require.Same(t, before, r.View())
 	r.Step(start, MemberGone{VM: name(0)})
 	r.Step(start, Tick{})
-	require.Same(t, before, r.fresh.Load(), "no snapshot was made yet")
+	require.Same(t, before, r.latest.Load(), "no snapshot was made yet")
 	after := r.View()
 	require.Len(t, before.services["chat"], 2)
 	require.Len(t, after.services["chat"], 1)
 	require.Same(t, after, r.View())
 }
 
-// A snapshot taken before a server left must not lead a request there.
+// A snapshot made before a backend server left must not cause a dispatch to it.
 func TestStaleSnapshotIsCheckedAtDispatch(t *testing.T) {
 	for _, e := range []Event{
 		AgentState{VM: "s0", Incarnation: 1, Seq: 2, Leaving: true},
@@ -110,8 +110,8 @@
 	})
 }
 
-// BenchmarkHeartbeat measures a state message and the new view at the target
-// size: 600 announced backend servers, 20 of them watched.
+// BenchmarkHeartbeat measures a state message at the target size: 600 announced
+// backend servers, 20 of them watched.
 func BenchmarkHeartbeat(b *testing.B) {
 	r := newRouter(600, 8)
 	seq := uint64(1)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,76 +1,76 @@
-// Package routing is an entry's table of backend servers and its choice of
-// one for each request.
+// Package routing keeps an entry's table of backend servers and picks one for
+// each request.
 //
-// Duty: decide which backend servers this entry watches, keep what it knows
-// of them, and pick one that is announced, heard from, live on the version,
-// not leaving, not set aside and not full.
+// It chooses which backend servers the entry watches, records their state, and
+// picks one that is announced, reachable, live on the requested version, not
+// leaving, not ejected and not full.
 //
-// State: Table holds one record per announced backend server. It is changed
-// only by Step, which does no I/O and reads no clock. View is an immutable
-// picture of the table that traffic goroutines pick from; Router is the thin
-// wrapper that makes both safe for concurrent use.
-//
-// Messages: events in (see event.go), actions out (see action.go).
+// Table holds one record per announced backend server. It is changed only by
+// Step, which takes an event (see event.go), returns actions (see action.go),
+// does no I/O and reads no clock. View is an immutable snapshot of the table for
+// picks. Router makes both safe for concurrent use.
 package routing
 
 import "time"
 
-// Config holds the settings of a table. Zero fields get the value of
-// DefaultConfig from NewTable, so a setting cannot be switched off by 0.
+// Config holds the settings of a table. NewTable replaces zero fields by the
+// values of DefaultConfig, so 0 does not switch a setting off.
 type Config struct {
-	// Entry names this entry; Zone is where it stands.
+	// Entry is the name of this entry and Zone its zone.
 	Entry string
 	Zone  string
 	// SubsetSize is how many backend servers of a service are watched, and
-	// NearShare the share of them taken from the entry's own zone first.
+	// NearShare the share of them that is reserved for the entry's own zone.
 	SubsetSize int
 	NearShare  float64
-	// HeartbeatLimit is how long a backend server is picked without a sign
-	// of life from its agent.
-	HeartbeatLimit time.Duration
-	// LoadHalfLife is the time in which a reported load loses half its
-	// weight.
+	// HeartbeatTimeout is the time since the last message of its agent after
+	// which a backend server is no longer picked.
+	HeartbeatTimeout time.Duration
+	// LoadHalfLife is the time in which the weight of a reported load halves.
 	LoadHalfLife time.Duration
-	// FullAt is the utilisation, by the agent's last count, at which a
-	// backend server gets no more. The count is late, so it is above 1.
-	FullAt float64
-	// WarmUp is how long a new replica gets less than its share, which
-	// rises from WarmUpFloor to 1.
+	// FullUtilisation is the utilisation, by the agent's last count, at which a
+	// backend server gets no more requests. It is above 1 because the count
+	// is late.
+	FullUtilisation float64
+	// WarmUp is how long the share of requests of a new replica rises from
+	// WarmUpFloor to 1.
 	WarmUp      time.Duration
 	WarmUpFloor float64
-	// SpillAt is the mean utilisation at which a nearer group of backend
-	// servers takes in the next; a group has at least MinNear members.
-	SpillAt float64
-	MinNear int
-	// AffinityBound is how far above the mean load, as a factor, a backend
-	// server may be and still get the requests of its prefixes.
+	// SpillUtilisation is the mean utilisation from which requests also go to
+	// the next farther group of backend servers (zone, region, all). A group
+	// with fewer than MinNear members is not used alone.
+	SpillUtilisation float64
+	MinNear          int
+	// AffinityBound is the multiple of the mean load up to which a backend
+	// server still gets the requests of its prefixes.
 	AffinityBound float64
-	// AffinityFree is the utilisation below which it does so in any case.
+	// AffinityFree is the utilisation up to which it gets them whatever the
+	// mean load.
 	AffinityFree float64
 	// CacheHints is how many cached prefixes are remembered per backend
 	// server, and HintTTL for how long.
 	CacheHints int
 	HintTTL    time.Duration
-	// NominalConcurrency stands in for a concurrency that is not reported.
+	// NominalConcurrency is assumed if an agent reports no concurrency.
 	NominalConcurrency int
 	Outlier            OutlierConfig
-	// Policy chooses among the backend servers that may take a request;
-	// Balanced unless set.
+	// Policy chooses among the backend servers that may take a request; the
+	// default is Balanced.
 	Policy Policy
 }
 
-// DefaultConfig returns the settings that docs/design/routing.md gives the
-// reasons for.
+// DefaultConfig returns the default settings; docs/design/routing.md gives the
+// reasons.
 func DefaultConfig() Config {
 	return Config{
 		SubsetSize:         20,
 		NearShare:          0.25,
-		HeartbeatLimit:     5 * time.Second,
+		HeartbeatTimeout:   5 * time.Second,
 		LoadHalfLife:       500 * time.Millisecond,
-		FullAt:             1.5,
+		FullUtilisation:    1.5,
 		WarmUp:             10 * time.Second,
 		WarmUpFloor:        0.1,
-		SpillAt:            0.75,
+		SpillUtilisation:   0.75,
 		MinNear:            3,
 		AffinityBound:      1.5,
 		AffinityFree:       0.5,
@@ -94,12 +94,12 @@
 	d := DefaultConfig()
 	c.SubsetSize = orDefault(c.SubsetSize, d.SubsetSize)
 	c.NearShare = orDefault(c.NearShare, d.NearShare)
-	c.HeartbeatLimit = orDefault(c.HeartbeatLimit, d.HeartbeatLimit)
+	c.HeartbeatTimeout = orDefault(c.HeartbeatTimeout, d.HeartbeatTimeout)
 	c.LoadHalfLife = orDefault(c.LoadHalfLife, d.LoadHalfLife)
-	c.FullAt = orDefault(c.FullAt, d.FullAt)
+	c.FullUtilisation = orDefault(c.FullUtilisation, d.FullUtilisation)
 	c.WarmUp = orDefault(c.WarmUp, d.WarmUp)
 	c.WarmUpFloor = orDefault(c.WarmUpFloor, d.WarmUpFloor)
-	c.SpillAt = orDefault(c.SpillAt, d.SpillAt)
+	c.SpillUtilisation = orDefault(c.SpillUtilisation, d.SpillUtilisation)
 	c.MinNear = orDefault(c.MinNear, d.MinNear)
 	c.AffinityBound = orDefault(c.AffinityBound, d.AffinityBound)
 	c.AffinityFree = orDefault(c.AffinityFree, d.AffinityFree)
--- a/internal/routing/server.go
+++ b/internal/routing/server.go
@@ -8,14 +8,14 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// counters are the figures of one backend server that change with every
-// request; views share them with the table.
+// counters holds what changes with every request at one backend server. Views
+// share it with the table.
 type counters struct {
 	// inFlight counts this entry's own requests.
 	inFlight atomic.Int64
 	// lastDispatch is a Unix time in nanoseconds.
 	lastDispatch atomic.Int64
-	// others is the last word on the requests of other entries.
+	// others is the latest count of the requests of other entries.
 	others atomic.Pointer[othersCount]
 }
 
@@ -25,8 +25,9 @@
 	at       time.Time
 }
 
-// agentCounted takes over an agent's count, this entry's own included.
-func (c *counters) agentCounted(now time.Time, inFlight int) {
+// setAgentCount sets the requests of other entries from an agent's count, which
+// includes this entry's own.
+func (c *counters) setAgentCount(now time.Time, inFlight int) {
 	c.setOthers(now, max(0, float64(inFlight)-float64(c.inFlight.Load())))
 }
 
@@ -34,9 +35,9 @@
 	c.others.Store(&othersCount{requests: requests, at: now})
 }
 
-// othersNow estimates the requests of other entries. A count holds for one
-// half-life, since the next one comes with the next answer, and then loses
-// weight.
+// othersNow estimates the requests of other entries. A count keeps its full
+// weight for one half-life, since the next one arrives with the next answer, and
+// then decays.
 func (c *counters) othersNow(now time.Time, halfLife time.Duration) float64 {
 	last := c.others.Load()
 	if last == nil {
@@ -45,7 +46,7 @@
 	return last.requests * decay(now.Sub(last.at)-halfLife, halfLife)
 }
 
-// server is what the table knows of one backend server.
+// server is the table's record of one backend server.
 type server struct {
 	member inventory.Member
 	region string
@@ -53,35 +54,37 @@
 	count  *counters
 
 	watched bool
-	// state is the last message taken; heard is when it, or an answer, came.
-	state    AgentState
-	hasState bool
-	heard    time.Time
-	// known is true once there was any message, of any incarnation.
+	// state is the latest message applied and lastHeartbeat its arrival.
+	state         AgentState
+	hasState      bool
+	lastHeartbeat time.Time
+	// known is true after the first message, of any incarnation.
 	known bool
-	// drained is true while operators want the VM without work.
+	// drained is true while operators have drained the VM.
 	drained bool
-	// suspect is true from the loss of the watch to the next message.
-	suspect bool
-	// leaving is true when the agent said so, in its state or in a refusal;
-	// leavingAt is when it last did.
+	// connectionLost is true from the loss of the Watch stream, or a request
+	// that could not be delivered, to the next message.
+	connectionLost bool
+	// leaving is true if the agent announced that it leaves, in its state or
+	// in a refusal; leavingAt is when it last did.
 	leaving   bool
 	leavingAt time.Time
 	load      loadEstimate
 	hints     hintSet
-	// liveSince is when each live version was first heard of here, while
-	// the backend server was known without it.
+	// liveSince is when each live version became live; zero if it was live in
+	// the first message.
 	liveSince map[Version]time.Time
 	health    health
 	// waiting are the requests without a first token.
-	waiting map[string]waiter
+	waiting map[string]pendingRequest
 }
 
-// waiter is a request without a first token.
-type waiter struct {
+// pendingRequest is a request without a first token.
+type pendingRequest struct {
 	// since is when it was dispatched.
 	since time.Time
-	// whole is true when its first byte comes with its last.
+	// whole is true for an answer that is not streamed: its first byte arrives
+	// with its last.
 	whole bool
 }
 
@@ -91,13 +94,13 @@
 		hash:      rendezvous.Hash(m.VM),
 		count:     &counters{},
 		liveSince: map[Version]time.Time{},
-		waiting:   map[string]waiter{},
+		waiting:   map[string]pendingRequest{},
 	}
 }
 
-// restart forgets what belonged to the backend server's earlier incarnation.
-// Requests still in flight end by their own events.
-func (s *server) restart() {
+// resetIncarnation clears the state of the backend server's earlier incarnation.
+// Requests still in flight are finished by their own events.
+func (s *server) resetIncarnation() {
 	s.hasState = false
 	s.state = AgentState{}
 	s.leaving = false
@@ -108,39 +111,40 @@
 	s.health = health{}
 }
 
-// takeState takes a message of the Watch stream unless it is an old one.
-func (s *server) takeState(now time.Time, st AgentState, cfg *Config) bool {
+// applyState applies a message of the Watch stream unless it is outdated, and
+// reports whether it did.
+func (s *server) applyState(now time.Time, st AgentState, cfg *Config) bool {
 	if st.Incarnation < s.member.Incarnation {
 		return false
 	}
 	if st.Incarnation > s.member.Incarnation {
 		s.member.Incarnation = st.Incarnation
-		s.restart()
+		s.resetIncarnation()
 	}
 	if s.hasState && st.Seq <= s.state.Seq {
 		return false
 	}
-	s.noteLive(now, st.Live)
-	s.count.agentCounted(now, st.InFlight)
+	s.updateLive(now, st.Live)
+	s.count.setAgentCount(now, st.InFlight)
 	s.load.update(now, s.state, st, s.count.inFlight.Load())
 	s.hints = s.hints.with(now, st.CacheEvents, cfg)
-	s.takeLeaving(now, st.Leaving, cfg)
+	s.applyLeaving(now, st.Leaving, cfg)
 	s.state = st
 	s.hasState = true
 	s.known = true
-	s.heard = now
-	s.suspect = false
+	s.lastHeartbeat = now
+	s.connectionLost = false
 	return true
 }
 
-// takeLeaving believes a "leaving" at once, and its end only some time later:
-// a message sent before a refusal may come after it.
-func (s *server) takeLeaving(now time.Time, leaving bool, cfg *Config) {
+// applyLeaving sets leaving at once but clears it only after HeartbeatTimeout: a
+// message that was sent before a refusal may arrive after it.
+func (s *server) applyLeaving(now time.Time, leaving bool, cfg *Config) {
 	if leaving {
 		s.leaving, s.leavingAt = true, now
 		return
 	}
-	if s.leaving && now.Sub(s.leavingAt) >= cfg.HeartbeatLimit {
+	if s.leaving && now.Sub(s.leavingAt) >= cfg.HeartbeatTimeout {
 		s.leaving = false
 	}
 }
@@ -149,9 +153,9 @@
 	return s.leaving || s.drained || s.member.State == inventory.MemberLeaving
 }
 
-// noteLive keeps the times at which versions came to be live. What is live
-// in the first message has been for an unknown time and is taken as warm.
-func (s *server) noteLive(now time.Time, live []Version) {
+// updateLive records when versions became live. Those in the first message have
+// been live for an unknown time and count as warm.
+func (s *server) updateLive(now time.Time, live []Version) {
 	since := make(map[Version]time.Time, len(live))
 	for _, v := range live {
 		at, known := s.liveSince[v]
@@ -163,8 +167,8 @@
 	s.liveSince = since
 }
 
-// dropLive notes that a version is not live after all.
-func (s *server) dropLive(v Version) {
+// removeLive removes a version that the agent refused as not live.
+func (s *server) removeLive(v Version) {
 	kept := make([]Version, 0, len(s.state.Live))
 	for _, have := range s.state.Live {
 		if have != v {
--- a/internal/routing/sim/compare.go
+++ b/internal/routing/sim/compare.go
@@ -6,41 +6,42 @@
 	"lynxgate.dev/lynxgate/internal/routing"
 )
 
-// Figures sum the comparison up: means over several seeds.
+// Figures holds the results of a comparison, as means over several seeds.
 type Figures struct {
-	// P95OverRandom is balanced over random on a skewed load known late.
+	// P95OverRandom is the p95 of the balanced policy divided by that of random
+	// choice, with backend servers of different speed and a late load report.
 	P95OverRandom float64
 	// PrefixP95OverRandom is the same with shared prefixes, PrefixHitRate
-	// the share of requests that found theirs cached, RandomHitRate that of
-	// random choice.
+	// the share of requests whose prefix was cached, and RandomHitRate that
+	// with random choice.
 	PrefixP95OverRandom float64
 	PrefixHitRate       float64
 	RandomHitRate       float64
-	// GrayP99 is the p99 with one backend server ten times slower over that
-	// of a healthy fleet; GrayP99Off the same without outlier detection and
-	// GrayP99Random with random choice, over the healthy balanced fleet.
+	// GrayP99 is the p99 with one backend server ten times slower, divided by
+	// that of a healthy fleet with the balanced policy; GrayP99Off the same
+	// without outlier detection, and GrayP99Random with random choice.
 	GrayP99       float64
 	GrayP99Off    float64
 	GrayP99Random float64
 	// GrayPrefixP99 and GrayPrefixP99Off are the same with shared prefixes.
 	GrayPrefixP99    float64
 	GrayPrefixP99Off float64
-	// FailedShare is the share of requests lost to one backend server that
-	// fails each at once; FailedShareOff without outlier detection.
+	// FailedShare is the share of requests that fail if one backend server
+	// fails all of its requests; FailedShareOff without outlier detection.
 	FailedShare    float64
 	FailedShareOff float64
-	// FalseAsides counts healthy backend servers set aside in a run with
-	// shared prefixes.
-	FalseAsides float64
+	// FalseEjections is the number of ejections of healthy backend servers in
+	// a run with shared prefixes.
+	FalseEjections float64
 }
 
-// The shapes of the runs.
+// Parameters of the runs.
 const (
 	sharedPrefixes = 200
 	slowFactor     = 10
 )
 
-// Compare runs the comparison over seeds 1 to n.
+// Compare runs the comparison with each seed from 1 to seeds.
 func Compare(seeds, requests int) Figures {
 	var f Figures
 	n := float64(seeds)
@@ -67,7 +68,7 @@
 	f.PrefixP95OverRandom += ratio(balanced.P95, baseline.P95) / n
 	f.PrefixHitRate += balanced.HitRate / n
 	f.RandomHitRate += baseline.HitRate / n
-	f.FalseAsides += float64(balanced.Asides) / n
+	f.FalseEjections += float64(balanced.FalseEjections) / n
 }
 
 func (f *Figures) addGray(cfg, random Config, healthy time.Duration, n float64) {
--- a/internal/routing/sim/sim.go
+++ b/internal/routing/sim/sim.go
@@ -1,11 +1,10 @@
-// Package sim compares routing policies in simulated time. It serves tests
-// and `make bench-requests`; no daemon uses it.
+// Package sim compares routing policies in simulated time. No daemon uses it.
 //
-// Several entries, each with its own routing.Table, send Poisson arrivals to
+// Several entries, each with its own routing.Table, dispatch Poisson arrivals to
 // backend servers with a bounded number of slots, a queue and a small prefix
-// cache. Heartbeats and cache events reach the entries late, the load figure
-// later still. Time is a number: nothing here sleeps or reads a clock, and a
-// seed gives the same run each time.
+// cache. Heartbeats and cache events reach the entries with a delay, and the
+// reported load with a longer one. Nothing here sleeps or reads a clock, and the
+// same seed gives the same run.
 package sim
 
 import (
@@ -26,35 +25,36 @@
 	Servers  int
 	Slots    int
 	Requests int
-	// Utilisation is the offered load over the capacity without cache hits.
+	// Utilisation is the offered load divided by the capacity without cache
+	// hits.
 	Utilisation float64
-	// Skew is how much slower than the first the last backend server is
-	// built: 2 for half the speed.
+	// Skew is the service time at the last backend server relative to the
+	// first, 2 for half the speed; those between are interpolated.
 	Skew float64
-	// Prefixes is how many prompt prefixes there are, of falling
-	// popularity; 0 gives every request its own. CachedPrefixes is how many
-	// a backend server keeps.
+	// Prefixes is the number of shared prompt prefixes, with a Zipf
+	// distribution; with 0, requests share none. CachedPrefixes is how many
+	// a backend server caches.
 	Prefixes       int
 	CachedPrefixes int
-	// Heartbeat is the time between an agent's states, LoadLag how old the
-	// load figure in them is.
+	// Heartbeat is the time between an agent's state messages, and LoadLag the
+	// age of the reported load in them.
 	Heartbeat time.Duration
 	LoadLag   time.Duration
-	// SlowServers backend servers become SlowFactor slower after a fifth
-	// of the run; figures are taken from then on.
+	// SlowServers backend servers become SlowFactor times slower after a
+	// fifth of the requests; measurement begins then.
 	SlowServers int
 	SlowFactor  float64
-	// FailingServers backend servers fail each request at once from then on.
+	// FailingServers backend servers fail every request from then on.
 	FailingServers int
-	// LyingServers always report no load.
-	LyingServers int
-	// NewPolicy makes the policy of one entry.
+	// MisreportingServers backend servers always report no load.
+	MisreportingServers int
+	// NewPolicy returns a new policy for one entry.
 	NewPolicy func() routing.Policy
 	// Settings of the entries' tables; name, zone and policy are set here.
 	Settings routing.Config
 }
 
-// Base returns a run of today's size: 4 entries before 12 backend servers.
+// Base returns a run with 4 entries and 12 backend servers.
 func Base() Config {
 	return Config{
 		Seed:           1,
@@ -71,7 +71,7 @@
 	}
 }
 
-// Result holds the figures of one run. Times are to the first token.
+// Result holds the measurements of one run. Times are to the first token.
 type Result struct {
 	P50, P95, P99 time.Duration
 	// HitRate is the share of requests that found their prefix cached.
@@ -80,14 +80,14 @@
 	Refused int
 	// FailedShare is the share of requests that failed.
 	FailedShare float64
-	// Asides counts how often an entry set a healthy backend server aside.
-	Asides int
+	// FalseEjections counts how often an entry ejected a healthy backend server.
+	FalseEjections int
 	// PerServer counts the requests of each backend server.
 	PerServer []int
 }
 
-// Service times: the prompt of a request is computed unless its prefix is
-// cached, then tokens follow.
+// Mean service times. A request takes prefillTime, or cachedTime if its prefix is
+// cached, up to the first token, then decodeTime.
 const (
 	prefillTime = 200 * time.Millisecond
 	cachedTime  = 20 * time.Millisecond
@@ -109,33 +109,33 @@
 	measure bool
 }
 
-// happening is something due at a time.
-type happening struct {
+// timedEvent is a function to be called at a time.
+type timedEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type agenda []happening
+type eventQueue []timedEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	if a[i].at != a[j].at {
-		return a[i].at < a[j].at
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
 	}
-	return a[i].seq < a[j].seq
+	return q[i].seq < q[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
-	old := *a
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(timedEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*a = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
-// engine is one backend server.
-type engine struct {
+// backendServer is one simulated backend server.
+type backendServer struct {
 	vm      string
 	speed   float64 // times are multiplied by it
 	failing bool
@@ -147,24 +147,24 @@
 	served  int
 }
 
-type world struct {
-	cfg     Config
-	rng     *rand.Rand
-	now     time.Duration
-	agenda  agenda
-	seq     int
-	tables  []*routing.Table
-	engines []*engine
-	zipf    []float64
-	firsts  []time.Duration
-	hits    int
-	counted int
-	refused int
-	asides  int
-	failed  int
-	ill     map[string]bool // slow or failing
-	left    int
-	stateNo uint64
+type simulation struct {
+	cfg             Config
+	rng             *rand.Rand
+	now             time.Duration
+	queue           eventQueue
+	seq             int
+	tables          []*routing.Table
+	servers         []*backendServer
+	zipf            []float64
+	firstTokenTimes []time.Duration
+	hits            int
+	counted         int
+	refused         int
+	falseEjections  int
+	failed          int
+	degraded        map[string]bool // slow or failing
+	remaining       int
+	lastSeq         uint64
 	// interval is the mean time between arrivals, in seconds.
 	interval float64
 }
@@ -179,40 +179,40 @@
 
 // Run simulates one configuration.
 func Run(cfg Config) Result {
-	w := &world{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), left: cfg.Requests, ill: map[string]bool{}}
-	w.build()
-	w.schedule(0, w.arrive)
-	for w.agenda.Len() > 0 && (w.left > 0 || w.busy()) {
-		h := heap.Pop(&w.agenda).(happening)
-		w.now = h.at
+	s := &simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), remaining: cfg.Requests, degraded: map[string]bool{}}
+	s.build()
+	s.schedule(0, s.arrive)
+	for s.queue.Len() > 0 && (s.remaining > 0 || s.busy()) {
+		h := heap.Pop(&s.queue).(timedEvent)
+		s.now = h.at
 		h.do()
 	}
-	return w.result()
+	return s.result()
 }
 
-func (w *world) build() {
-	for i := range w.cfg.Servers {
-		speed := 1 + (w.cfg.Skew-1)*float64(i)/math.Max(1, float64(w.cfg.Servers-1))
-		w.engines = append(w.engines, &engine{vm: vmName(i), speed: speed})
+func (s *simulation) build() {
+	for i := range s.cfg.Servers {
+		speed := 1 + (s.cfg.Skew-1)*float64(i)/math.Max(1, float64(s.cfg.Servers-1))
+		s.servers = append(s.servers, &backendServer{vm: vmName(i), speed: speed})
 	}
-	w.interval = w.meanInterval()
-	for e := range w.cfg.Entries {
-		w.tables = append(w.tables, w.newTable(e))
+	s.interval = s.meanInterval()
+	for e := range s.cfg.Entries {
+		s.tables = append(s.tables, s.newTable(e))
 	}
-	for i := range w.engines {
-		w.heartbeat(i)
+	for i := range s.servers {
+		s.heartbeat(i)
 	}
-	w.zipf = popularity(w.cfg.Prefixes)
-	w.schedule(time.Second, w.tick)
+	s.zipf = zipfDistribution(s.cfg.Prefixes)
+	s.schedule(time.Second, s.tick)
 }
 
-func (w *world) newTable(entry int) *routing.Table {
-	settings := w.cfg.Settings
+func (s *simulation) newTable(entry int) *routing.Table {
+	settings := s.cfg.Settings
 	settings.Entry = fmt.Sprintf("entry-%d", entry)
 	settings.Zone = zoneOf(entry)
-	settings.Policy = w.cfg.NewPolicy()
+	settings.Policy = s.cfg.NewPolicy()
 	t := routing.NewTable(settings)
-	for i := range w.engines {
+	for i := range s.servers {
 		t.Step(epoch, routing.MemberChanged{Member: inventory.Member{
 			VM: vmName(i), Zone: zoneOf(i), Service: service, Incarnation: 1, State: inventory.MemberUp,
 		}})
@@ -224,15 +224,15 @@
 
 func vmName(i int) string { return fmt.Sprintf("vm-%02d", i) }
 
-func (w *world) clock() time.Time { return epoch.Add(w.now) }
+func (s *simulation) clock() time.Time { return epoch.Add(s.now) }
 
-func (w *world) schedule(after time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.agenda, happening{w.now + after, w.seq, do})
+func (s *simulation) schedule(after time.Duration, do func()) {
+	s.seq++
+	heap.Push(&s.queue, timedEvent{s.now + after, s.seq, do})
 }
 
-func (w *world) busy() bool {
-	for _, e := range w.engines {
+func (s *simulation) busy() bool {
+	for _, e := range s.servers {
 		if e.running > 0 {
 			return true
 		}
@@ -240,32 +240,32 @@
 	return false
 }
 
-// meanInterval is the time between arrivals that gives the wanted load.
-func (w *world) meanInterval() float64 {
+// meanInterval is the mean time between arrivals that gives cfg.Utilisation.
+func (s *simulation) meanInterval() float64 {
 	perSecond := 0.0
-	for _, e := range w.engines {
-		perSecond += float64(w.cfg.Slots) / (e.speed * (prefillTime + decodeTime).Seconds())
+	for _, e := range s.servers {
+		perSecond += float64(s.cfg.Slots) / (e.speed * (prefillTime + decodeTime).Seconds())
 	}
-	return 1 / (perSecond * w.cfg.Utilisation)
+	return 1 / (perSecond * s.cfg.Utilisation)
 }
 
-func (w *world) arrive() {
-	if w.left == 0 {
+func (s *simulation) arrive() {
+	if s.remaining == 0 {
 		return
 	}
-	w.left--
-	done := w.cfg.Requests - w.left
-	if done == int(warmUpShare*float64(w.cfg.Requests)) {
-		w.breakSome()
+	s.remaining--
+	done := s.cfg.Requests - s.remaining
+	if done == int(warmUpShare*float64(s.cfg.Requests)) {
+		s.degradeServers()
 	}
 	r := &request{
 		id:      fmt.Sprint(done),
-		entry:   w.rng.IntN(w.cfg.Entries),
-		prefix:  w.drawPrefix(),
-		arrived: w.now,
-		measure: done > int(warmUpShare*float64(w.cfg.Requests)),
+		entry:   s.rng.IntN(s.cfg.Entries),
+		prefix:  s.drawPrefix(),
+		arrived: s.now,
+		measure: done > int(warmUpShare*float64(s.cfg.Requests)),
 	}
-	w.dispatch(r)
-	next := -math.Log(1-w.rng.Float64()) * w.interval
-	w.schedule(time.Duration(next*float64(time.Second)), w.arrive)
+	s.dispatch(r)
+	next := -math.Log(1-s.rng.Float64()) * s.interval
+	s.schedule(time.Duration(next*float64(time.Second)), s.arrive)
 }
--- a/internal/routing/sim/sim_test.go
+++ b/internal/routing/sim/sim_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The bounds leave room between what was measured and what fails; time is
-// simulated, so that the machine's speed plays no part.
+// The bounds have a margin over the simulated results, which do not depend on the
+// speed of the machine.
 func TestBalancedAgainstBaselines(t *testing.T) {
 	f := Compare(3, 8000)
 	t.Logf("simulation: %+v", f)
@@ -20,16 +20,16 @@
 	require.Greater(t, f.GrayPrefixP99Off, f.GrayPrefixP99)
 	require.Less(t, f.FailedShare, 0.02)
 	require.Greater(t, f.FailedShareOff, 0.08)
-	require.Less(t, f.FalseAsides, 15.0)
+	require.Less(t, f.FalseEjections, 15.0)
 }
 
-func TestLyingServersGetNoMoreThanTheirShare(t *testing.T) {
+func TestMisreportingServersGetLessThanTwiceTheRequests(t *testing.T) {
 	cfg := Base()
 	cfg.Requests = 8000
 	honest := Run(cfg)
-	cfg.LyingServers = 2
+	cfg.MisreportingServers = 2
 	lied := Run(cfg)
-	for i := range cfg.LyingServers {
+	for i := range cfg.MisreportingServers {
 		require.Less(t, lied.PerServer[i], 2*honest.PerServer[i])
 	}
 	require.Less(t, ratio(lied.P95, honest.P95), 1.3)
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -14,9 +14,10 @@
 }
 
 // subset chooses the backend servers an entry watches, by rendezvous hashing
-// of the entry's name with theirs. A share comes from the entry's own zone
-// first, the rest from everywhere, so that a backend server in a zone without
-// entries is watched too. A join or leave changes one place at most.
+// of the entry's name with theirs. A share is reserved for the entry's own zone;
+// the rest is chosen from all zones, so that a backend server in a zone without
+// entries is watched too. A join or leave changes at most one member of the
+// subset.
 func subset(entry uint64, zone string, members []subsetMember, size int, nearShare float64) []subsetMember {
 	sorted := append([]subsetMember(nil), members...)
 	sort.Slice(sorted, func(i, j int) bool {
--- a/internal/routing/subset_test.go
+++ b/internal/routing/subset_test.go
@@ -16,14 +16,15 @@
 
 const (
 	targetEntries = 380
-	targetWorkers = 600
+	targetServers = 600
 	targetZones   = 12
 	subsetSize    = 20
-	// fewestWatchers is what every worker must keep, wherever entries stand.
-	fewestWatchers = 4
+	// minWatchers is the least number of entries that watch a backend server,
+	// whatever zones the entries are in.
+	minWatchers = 4
 )
 
-func targetWorkerSet(n int) []subsetMember {
+func targetServerSet(n int) []subsetMember {
 	members := make([]subsetMember, n)
 	for i := range members {
 		vm := fmt.Sprintf("worker-%03d", i)
@@ -32,12 +33,13 @@
 	return members
 }
 
-// subsets computes every entry's subset; entries stand in some zones only.
-func subsets(workers []subsetMember, entryZones int) [][]subsetMember {
+// subsets computes the subset of every entry; the entries are spread over the
+// first entryZones zones.
+func subsets(servers []subsetMember, entryZones int) [][]subsetMember {
 	all := make([][]subsetMember, targetEntries)
 	for e := range all {
 		zone := fmt.Sprintf("z%02d", e%entryZones)
-		all[e] = subset(rendezvous.Hash(fmt.Sprintf("entry-%03d", e)), zone, workers, subsetSize, DefaultConfig().NearShare)
+		all[e] = subset(rendezvous.Hash(fmt.Sprintf("entry-%03d", e)), zone, servers, subsetSize, DefaultConfig().NearShare)
 	}
 	return all
 }
@@ -53,13 +55,13 @@
 }
 
 func TestSubsetAtTargetSize(t *testing.T) {
-	workers := targetWorkerSet(targetWorkers)
+	servers := targetServerSet(targetServers)
 	for _, entryZones := range []int{targetZones, 3} {
-		all := subsets(workers, entryZones)
+		all := subsets(servers, entryZones)
 		count := watchers(all)
 		least, most, near := targetEntries, 0, 0
-		for _, w := range workers {
-			least, most = min(least, count[w.vm]), max(most, count[w.vm])
+		for _, s := range servers {
+			least, most = min(least, count[s.vm]), max(most, count[s.vm])
 		}
 		for e, chosen := range all {
 			for _, m := range chosen {
@@ -69,18 +71,18 @@
 			}
 		}
 		share := float64(near) / float64(targetEntries*subsetSize)
-		t.Logf("simulation: entries in %d of 12 zones: watchers per worker %d to %d, near share %.2f", entryZones, least, most, share)
-		require.GreaterOrEqual(t, least, fewestWatchers)
+		t.Logf("simulation: entries in %d of 12 zones: watchers per backend server %d to %d, near share %.2f", entryZones, least, most, share)
+		require.GreaterOrEqual(t, least, minWatchers)
 		require.GreaterOrEqual(t, share, DefaultConfig().NearShare)
 	}
-	// Churn: places changed over all entries by one worker less.
+	// Churn: watches of all entries that change when one backend server leaves.
 	changed := 0
-	before, after := subsets(workers, targetZones), subsets(workers[1:], targetZones)
+	before, after := subsets(servers, targetZones), subsets(servers[1:], targetZones)
 	for e := range before {
 		changed += difference(before[e], after[e])
 	}
-	t.Logf("simulation: one worker leaves: %d of %d watches change", changed, targetEntries*subsetSize)
-	require.LessOrEqual(t, changed, watchers(before)[workers[0].vm])
+	t.Logf("simulation: one backend server leaves: %d of %d watches change", changed, targetEntries*subsetSize)
+	require.LessOrEqual(t, changed, watchers(before)[servers[0].vm])
 }
 
 func difference(a, b []subsetMember) int {
@@ -99,12 +101,12 @@
 
 func TestSubsetChangesOnePlaceAtMost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		workers := targetWorkerSet(rapid.IntRange(1, 80).Draw(t, "workers"))
+		servers := targetServerSet(rapid.IntRange(1, 80).Draw(t, "servers"))
 		size := rapid.IntRange(1, 30).Draw(t, "size")
 		entry := rapid.Uint64().Draw(t, "entry")
-		gone := rapid.IntRange(0, len(workers)-1).Draw(t, "gone")
-		before := subset(entry, "z00", workers, size, 0.5)
-		rest := append(append([]subsetMember(nil), workers[:gone]...), workers[gone+1:]...)
+		gone := rapid.IntRange(0, len(servers)-1).Draw(t, "gone")
+		before := subset(entry, "z00", servers, size, 0.5)
+		rest := append(append([]subsetMember(nil), servers[:gone]...), servers[gone+1:]...)
 		after := subset(entry, "z00", rest, size, 0.5)
 		require.Len(t, after, min(size, len(rest)))
 		require.LessOrEqual(t, difference(before, after), 1)
@@ -112,8 +114,8 @@
 	})
 }
 
-// TestWatchesFollowMembership checks that starts and stops of watches add up
-// to the subset, and that what may not be picked never is, whatever happens.
+// Under random events, the started and stopped watches add up to the subset, and a
+// backend server that is unwatched, silent or leaving is never picked.
 func TestTableUnderAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{Entry: "e", Zone: "a1", SubsetSize: 4}
@@ -143,7 +145,7 @@
 				delete(leaving, vm)
 			case "state":
 				if leaving[vm] == m.Incarnation {
-					continue // an agent that leaves says so until it restarts
+					continue // a leaving agent reports it until it restarts
 				}
 				event = AgentState{VM: vm, Incarnation: m.Incarnation, Seq: seq, Live: []Version{{"m", "v1"}}}
 			case "leave":
@@ -163,7 +165,7 @@
 					leaving[vm] = m.Incarnation
 				}
 			case "silence":
-				now = now.Add(table.cfg.HeartbeatLimit)
+				now = now.Add(table.cfg.HeartbeatTimeout)
 				clear(heard)
 				event = Tick{}
 			case "done":
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -10,20 +10,20 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// Table is what an entry knows of the backend servers. It is owned by one
-// goroutine; Router serves several.
+// Table is an entry's table of backend servers. It is not safe for concurrent
+// use; see Router.
 type Table struct {
 	cfg     Config
 	entry   uint64
 	regions map[string]string
 	servers map[string]*server
-	// byService holds the same servers, ordered.
+	// byService holds the same servers by service, ordered by VM.
 	byService map[string][]*server
-	// preferred are the versions that rules ask for.
+	// preferred are the versions in rules.
 	preferred map[Version]bool
 	// drained are the VMs that operators have drained.
 	drained map[string]bool
-	peers   map[string]peerFigures
+	peers   map[string]peerStats
 	view    *View
 }
 
@@ -36,12 +36,12 @@
 		regions:   map[string]string{},
 		servers:   map[string]*server{},
 		preferred: map[Version]bool{},
-		peers:     map[string]peerFigures{},
+		peers:     map[string]peerStats{},
 	}
 }
 
-// Step takes one event and returns what has to be done for it. Events about
-// unknown VMs are ignored.
+// Step applies one event and returns the resulting actions. Events about unknown
+// VMs are ignored.
 func (t *Table) Step(now time.Time, event Event) []Action {
 	switch e := event.(type) {
 	case ZonesChanged:
@@ -60,16 +60,16 @@
 	return t.serverEvent(now, event)
 }
 
-// serverEvent takes an event about one backend server.
+// serverEvent applies an event about one backend server.
 func (t *Table) serverEvent(now time.Time, event Event) []Action {
 	switch e := event.(type) {
 	case AgentState:
-		if s := t.servers[e.VM]; s != nil && s.takeState(now, e, &t.cfg) {
+		if s := t.servers[e.VM]; s != nil && s.applyState(now, e, &t.cfg) {
 			t.view = nil
 		}
 	case WatchLost:
 		if s := t.servers[e.VM]; s != nil {
-			s.suspect = true
+			s.connectionLost = true
 			t.view = nil
 		}
 	case Dispatched:
@@ -78,11 +78,11 @@
 		}
 	case Counted:
 		if s := t.servers[e.VM]; s != nil {
-			s.count.agentCounted(now, e.InFlight)
+			s.count.setAgentCount(now, e.InFlight)
 		}
 	case FirstToken:
 		if s := t.servers[e.VM]; s != nil {
-			return t.sample(now, s, e.ID, e.Elapsed, false)
+			return t.recordSample(now, s, e.ID, e.Elapsed, false)
 		}
 	case Finished:
 		if s := t.servers[e.VM]; s != nil {
@@ -99,7 +99,7 @@
 func (s *server) dispatched(now time.Time, id string, whole bool) {
 	s.count.inFlight.Add(1)
 	s.count.lastDispatch.Store(now.UnixNano())
-	s.waiting[id] = waiter{since: now, whole: whole}
+	s.waiting[id] = pendingRequest{since: now, whole: whole}
 }
 
 func (t *Table) finished(now time.Time, s *server, e Finished) []Action {
@@ -114,45 +114,45 @@
 		return nil // its first token has been counted
 	}
 	if w.whole {
-		return t.sample(now, s, e.ID, 0, failed)
+		return t.recordSample(now, s, e.ID, 0, failed)
 	}
 	latency := e.FirstToken
 	if latency == 0 {
 		latency = e.Total
 	}
-	return t.sample(now, s, e.ID, latency, failed)
+	return t.recordSample(now, s, e.ID, latency, failed)
 }
 
-// release takes one of this entry's requests off a backend server.
+// release ends one of this entry's requests at a backend server.
 func (s *server) release() {
 	if s.count.inFlight.Add(-1) < 0 {
 		s.count.inFlight.Store(0)
 	}
 }
 
-// sample adds one outcome to a backend server's health.
-func (t *Table) sample(now time.Time, s *server, id string, latency time.Duration, failed bool) []Action {
+// recordSample adds one outcome to a backend server's health.
+func (t *Table) recordSample(now time.Time, s *server, id string, latency time.Duration, failed bool) []Action {
 	delete(s.waiting, id)
 	cfg := &t.cfg.Outlier
 	if s.health.phase != phaseProbing {
-		s.health.observe(latency, failed, cfg)
+		s.health.recordSample(latency, failed, cfg)
 		return nil
 	}
 	t.view = nil
-	if s.health.probed(now, latency, failed, t.peers[s.member.Service], cfg) {
+	if s.health.recordProbe(now, latency, failed, t.peers[s.member.Service], cfg) {
 		return []Action{PutBack{s.member.VM}}
 	}
-	if s.health.phase == phaseAside {
-		return []Action{SetAside{s.member.VM, asideCause(failed)}}
+	if s.health.phase == phaseEjected {
+		return []Action{SetAside{s.member.VM, ejectionCause(failed)}}
 	}
 	return nil
 }
 
-func asideCause(failed bool) AsideCause {
+func ejectionCause(failed bool) EjectionCause {
 	if failed {
-		return AsideFailing
+		return EjectedFailing
 	}
-	return AsideSlow
+	return EjectedSlow
 }
 
 func (t *Table) notRun(now time.Time, s *server, e NotRun) []Action {
@@ -163,12 +163,12 @@
 	case NotRunLeaving:
 		s.leaving, s.leavingAt = true, now
 	case NotRunVersion:
-		s.dropLive(e.Version)
+		s.removeLive(e.Version)
 	case NotRunFull:
-		s.count.setOthers(now, t.cfg.FullAt*float64(t.slots(s)))
+		s.count.setOthers(now, t.cfg.FullUtilisation*float64(t.slots(s)))
 	case NotRunUnreachable:
-		s.suspect = true
-		return t.sample(now, s, e.ID, 0, true)
+		s.connectionLost = true
+		return t.recordSample(now, s, e.ID, 0, true)
 	}
 	return nil
 }
@@ -234,16 +234,16 @@
 	s.region = t.regions[m.Zone]
 	t.reindex()
 	if m.Incarnation > old.Incarnation {
-		s.restart()
+		s.resetIncarnation()
 	}
 	var actions []Action
 	if old.Service != m.Service || old.Addr != m.Addr {
 		actions = t.unwatch(s)
 	}
 	if old.Service != m.Service {
-		actions = append(actions, t.resubset(now, old.Service)...)
+		actions = append(actions, t.updateSubset(now, old.Service)...)
 	}
-	return append(actions, t.resubset(now, m.Service)...)
+	return append(actions, t.updateSubset(now, m.Service)...)
 }
 
 func (t *Table) memberGone(now time.Time, vm string) []Action {
@@ -255,7 +255,7 @@
 	actions := t.unwatch(s)
 	delete(t.servers, vm)
 	t.reindex()
-	return append(actions, t.resubset(now, s.member.Service)...)
+	return append(actions, t.updateSubset(now, s.member.Service)...)
 }
 
 func (t *Table) unwatch(s *server) []Action {
@@ -266,11 +266,11 @@
 	return []Action{StopWatch{s.member.VM}}
 }
 
-// resubset chooses the watched backend servers of a service anew.
-func (t *Table) resubset(now time.Time, service string) []Action {
+// updateSubset recomputes the subset of a service and starts and stops watches.
+func (t *Table) updateSubset(now time.Time, service string) []Action {
 	var members []subsetMember
 	for _, s := range t.byService[service] {
-		if t.mayWatch(now, s) {
+		if t.eligible(now, s) {
 			members = append(members, subsetMember{s.member.VM, s.member.Zone, s.hash})
 		}
 	}
@@ -291,21 +291,21 @@
 	return actions
 }
 
-// mayWatch says whether a member may be in the subset. One that control took
-// for dead stays while its agent is heard: control may be cut off from it.
-func (t *Table) mayWatch(now time.Time, s *server) bool {
+// eligible reports whether a member may be in the subset. A watched member that
+// control marks as down stays while its agent sends messages: control may be
+// partitioned from it.
+func (t *Table) eligible(now time.Time, s *server) bool {
 	switch s.member.State {
 	case inventory.MemberLeaving:
 		return false
 	case inventory.MemberDown:
-		return s.watched && now.Sub(s.heard) < t.cfg.HeartbeatLimit
+		return s.watched && now.Sub(s.lastHeartbeat) < t.cfg.HeartbeatTimeout
 	default:
 		return true
 	}
 }
 
-// reindex orders the backend servers by service and VM after a change of
-// membership.
+// reindex rebuilds byService after a change of membership.
 func (t *Table) reindex() {
 	t.byService = map[string][]*server{}
 	for _, s := range t.servers {
@@ -316,8 +316,8 @@
 	}
 }
 
-// tick judges each service's watched backend servers, and gives places in
-// the subset held by silent dead ones to others.
+// tick ejects the outliers among each service's watched backend servers, and
+// replaces members of the subset that are down and no longer send messages.
 func (t *Table) tick(now time.Time) []Action {
 	t.view = nil
 	var actions []Action
@@ -327,20 +327,20 @@
 		for _, s := range t.byService[name] {
 			if s.watched {
 				watched = append(watched, s)
-				stale = stale || !t.mayWatch(now, s)
+				stale = stale || !t.eligible(now, s)
 			}
 		}
-		peers := figures(watched, &t.cfg.Outlier)
+		peers := computePeerStats(watched, &t.cfg.Outlier)
 		t.peers[name] = peers
-		actions = append(actions, judge(now, watched, peers, &t.cfg.Outlier)...)
+		actions = append(actions, ejectOutliers(now, watched, peers, &t.cfg.Outlier)...)
 		if stale {
-			actions = append(actions, t.resubset(now, name)...)
+			actions = append(actions, t.updateSubset(now, name)...)
 		}
 	}
 	return actions
 }
 
-// Pick chooses a backend server from the present view.
+// Pick chooses a backend server from the current view.
 func (t *Table) Pick(now time.Time, req Request, rng Rand) (Choice, Reason) {
 	return t.View().Pick(now, req, rng)
 }
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -13,8 +13,8 @@
 
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// bed is a table with a clock and a seeded source.
-type bed struct {
+// testTable is a table with a clock and a seeded random source.
+type testTable struct {
 	t     *testing.T
 	table *Table
 	now   time.Time
@@ -23,10 +23,10 @@
 	next  int
 }
 
-// newBed has n members s0, s1, ... of "chat", watched and live on m@v1.
-func newBed(t *testing.T, n int, cfg Config) *bed {
+// newTestTable has n members s0, s1, ... of "chat", watched and live on m@v1.
+func newTestTable(t *testing.T, n int, cfg Config) *testTable {
 	cfg.Entry, cfg.Zone = orDefault(cfg.Entry, "e"), orDefault(cfg.Zone, "a1")
-	b := &bed{t: t, table: NewTable(cfg), now: start, rng: rand.New(rand.NewPCG(1, 2))}
+	b := &testTable{t: t, table: NewTable(cfg), now: start, rng: rand.New(rand.NewPCG(1, 2))}
 	b.step(ZonesChanged{[]inventory.Zone{{Name: "a1", Region: "a"}, {Name: "a2", Region: "a"}, {Name: "b1", Region: "b"}}})
 	for i := range n {
 		b.step(MemberChanged{member(i, inventory.MemberUp)})
@@ -41,11 +41,11 @@
 	return inventory.Member{VM: name(i), Zone: "a1", Addr: "10.0.0.1:1", Service: "chat", Incarnation: 1, State: state}
 }
 
-func (b *bed) step(e Event) []Action { return b.table.Step(b.now, e) }
+func (b *testTable) step(e Event) []Action { return b.table.Step(b.now, e) }
 
-func (b *bed) state(i int, version string) { b.send(i, AgentState{ReportedLoad: -1}, version) }
+func (b *testTable) state(i int, version string) { b.send(i, AgentState{ReportedLoad: -1}, version) }
 
-func (b *bed) send(i int, st AgentState, version string) {
+func (b *testTable) send(i int, st AgentState, version string) {
 	b.seq++
 	st.VM, st.Seq = name(i), b.seq
 	st.Incarnation = max(1, st.Incarnation)
@@ -56,21 +56,21 @@
 	b.step(st)
 }
 
-func (b *bed) heartbeats(version string, vms ...int) {
+func (b *testTable) heartbeats(version string, vms ...int) {
 	for _, i := range vms {
 		b.state(i, version)
 	}
 }
 
-func (b *bed) wait(d time.Duration) { b.now = b.now.Add(d) }
+func (b *testTable) advance(d time.Duration) { b.now = b.now.Add(d) }
 
-func (b *bed) pick(req Request) (Choice, Reason) {
+func (b *testTable) pick(req Request) (Choice, Reason) {
 	req.Service = "chat"
 	return b.table.Pick(b.now, req, b.rng)
 }
 
-// picks counts where n requests would go.
-func (b *bed) picks(n int, req Request) map[string]int {
+// picks counts the backend servers picked for n requests.
+func (b *testTable) picks(n int, req Request) map[string]int {
 	counts := map[string]int{}
 	for range n {
 		c, reason := b.pick(req)
@@ -80,8 +80,9 @@
 	return counts
 }
 
-// serve sends a request to a backend server and ends it after a time.
-func (b *bed) serve(vm string, took time.Duration, outcome Outcome) []Action {
+// serve dispatches a request to a backend server and finishes it with the given
+// latency.
+func (b *testTable) serve(vm string, took time.Duration, outcome Outcome) []Action {
 	b.next++
 	id := fmt.Sprint(b.next)
 	b.step(Dispatched{VM: vm, ID: id})
@@ -93,51 +94,51 @@
 	for _, tc := range []struct {
 		name string
 		n    int
-		do   func(b *bed)
+		do   func(b *testTable)
 		req  Request
 		want Reason
 	}{
-		{"none announced", 0, func(*bed) {}, model, ReasonNoneAnnounced},
-		{"picked", 2, func(*bed) {}, model, Picked},
-		{"plain", 1, func(b *bed) { b.state(0, "") }, Request{}, Picked},
-		{"other version", 2, func(*bed) {}, Request{Model: "m", Version: "v2"}, ReasonNoneLive},
-		{"other model", 2, func(*bed) {}, Request{Model: "x"}, ReasonNoneLive},
-		{"leaving said by the agent", 1, func(b *bed) { b.send(0, AgentState{Leaving: true}, "v1") }, model, ReasonAllLeaving},
-		{"leaving said by control", 1, func(b *bed) { b.step(MemberChanged{member(0, inventory.MemberLeaving)}) }, model, ReasonAllLeaving},
-		{"leaving said in a refusal", 1, func(b *bed) {
+		{"none announced", 0, func(*testTable) {}, model, ReasonNoneAnnounced},
+		{"picked", 2, func(*testTable) {}, model, Picked},
+		{"plain", 1, func(b *testTable) { b.state(0, "") }, Request{}, Picked},
+		{"other version", 2, func(*testTable) {}, Request{Model: "m", Version: "v2"}, ReasonNoneLive},
+		{"other model", 2, func(*testTable) {}, Request{Model: "x"}, ReasonNoneLive},
+		{"agent reports leaving", 1, func(b *testTable) { b.send(0, AgentState{Leaving: true}, "v1") }, model, ReasonAllLeaving},
+		{"control reports leaving", 1, func(b *testTable) { b.step(MemberChanged{member(0, inventory.MemberLeaving)}) }, model, ReasonAllLeaving},
+		{"leaving after a refusal", 1, func(b *testTable) {
 			b.step(Dispatched{VM: "s0", ID: "1"})
 			b.step(NotRun{VM: "s0", ID: "1", Reason: NotRunLeaving})
-			b.wait(time.Second)
+			b.advance(time.Second)
 			b.state(0, "v1") // sent before the refusal
 		}, model, ReasonAllLeaving},
-		{"silent", 1, func(b *bed) { b.wait(5 * time.Second) }, model, ReasonNoneHeard},
-		{"watch lost, not yet silent", 1, func(b *bed) { b.wait(time.Second); b.step(WatchLost{"s0"}) }, model, Picked},
-		{"refused for its version", 1, func(b *bed) {
+		{"silent", 1, func(b *testTable) { b.advance(5 * time.Second) }, model, ReasonNoneReachable},
+		{"watch lost, not yet silent", 1, func(b *testTable) { b.advance(time.Second); b.step(WatchLost{"s0"}) }, model, Picked},
+		{"refused for its version", 1, func(b *testTable) {
 			b.step(NotRun{VM: "s0", Reason: NotRunVersion, Version: Version{"m", "v1"}})
 		}, model, ReasonNoneLive},
-		{"full", 1, func(b *bed) {
+		{"full", 1, func(b *testTable) {
 			for i := range 4 {
 				b.step(Dispatched{VM: "s0", ID: fmt.Sprint(i)})
 			}
 		}, model, ReasonFull},
-		{"full by others", 1, func(b *bed) { b.send(0, AgentState{InFlight: 6}, "v1") }, model, ReasonFull},
-		{"others' count is late: not yet full", 1, func(b *bed) { b.send(0, AgentState{InFlight: 5}, "v1") }, model, Picked},
-		{"refused as full", 1, func(b *bed) { b.step(NotRun{VM: "s0", Reason: NotRunFull}) }, model, ReasonFull},
-		{"excluded", 1, func(*bed) {}, Request{Model: "m", Excluded: []string{"s0"}}, ReasonAllExcluded},
-		{"aside is the last resort", 1, func(b *bed) { b.table.servers["s0"].health.phase = phaseAside }, model, Picked},
-		{"aside and excluded", 2, func(b *bed) { b.table.servers["s0"].health.phase = phaseAside },
+		{"full by others", 1, func(b *testTable) { b.send(0, AgentState{InFlight: 6}, "v1") }, model, ReasonFull},
+		{"others' count is late: not yet full", 1, func(b *testTable) { b.send(0, AgentState{InFlight: 5}, "v1") }, model, Picked},
+		{"refused as full", 1, func(b *testTable) { b.step(NotRun{VM: "s0", Reason: NotRunFull}) }, model, ReasonFull},
+		{"excluded", 1, func(*testTable) {}, Request{Model: "m", Excluded: []string{"s0"}}, ReasonAllExcluded},
+		{"ejected as a last resort", 1, func(b *testTable) { b.table.servers["s0"].health.phase = phaseEjected }, model, Picked},
+		{"ejected or excluded", 2, func(b *testTable) { b.table.servers["s0"].health.phase = phaseEjected },
 			Request{Model: "m", Excluded: []string{"s1"}}, ReasonAllAside},
-		{"gone", 1, func(b *bed) { b.step(MemberGone{"s0"}) }, model, ReasonNoneAnnounced},
-		{"old state after a restart", 1, func(b *bed) {
+		{"removed", 1, func(b *testTable) { b.step(MemberGone{"s0"}) }, model, ReasonNoneAnnounced},
+		{"old state after a restart", 1, func(b *testTable) {
 			m := member(0, inventory.MemberUp)
 			m.Incarnation = 2
 			b.step(MemberChanged{m})
 			b.state(0, "v1")
-		}, model, ReasonNoneHeard},
-		{"down for control, heard here", 1, func(b *bed) { b.step(MemberChanged{member(0, inventory.MemberDown)}) }, model, Picked},
+		}, model, ReasonNoneReachable},
+		{"down for control, reachable here", 1, func(b *testTable) { b.step(MemberChanged{member(0, inventory.MemberDown)}) }, model, Picked},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBed(t, tc.n, Config{})
+			b := newTestTable(t, tc.n, Config{})
 			tc.do(b)
 			_, reason := b.pick(tc.req)
 			require.Equal(t, tc.want, reason)
@@ -146,15 +147,15 @@
 }
 
 func TestOlderStatesAreIgnored(t *testing.T) {
-	b := newBed(t, 1, Config{})
+	b := newTestTable(t, 1, Config{})
 	b.step(AgentState{VM: "s0", Incarnation: 1, Seq: 10, Leaving: true})
-	b.wait(6 * time.Second)
+	b.advance(6 * time.Second)
 	b.step(AgentState{VM: "s0", Incarnation: 1, Seq: 9, Live: []Version{{"m", "v1"}}})
 	require.True(t, b.table.servers["s0"].leaving)
 }
 
 func TestVersionDuringARoll(t *testing.T) {
-	b := newBed(t, 3, Config{})
+	b := newTestTable(t, 3, Config{})
 	b.step(RulesChanged{
 		Rules:    []inventory.Rule{{Service: "chat", Version: "v2"}},
 		Services: []inventory.Service{{Name: "chat", Model: "m"}},
@@ -162,7 +163,7 @@
 	c, _ := b.pick(Request{Model: "m"})
 	require.Equal(t, "v1", c.Version, "the only live one")
 	b.state(2, "v2")
-	b.wait(time.Minute)
+	b.advance(time.Minute)
 	b.heartbeats("v1", 0, 1)
 	b.state(2, "v2")
 	for range 50 {
@@ -176,16 +177,16 @@
 	require.Equal(t, ReasonFull, reason, "pinned")
 }
 
-func TestSuspectsComeLast(t *testing.T) {
-	b := newBed(t, 2, Config{})
+func TestServersWithLostWatchArePickedLast(t *testing.T) {
+	b := newTestTable(t, 2, Config{})
 	b.step(WatchLost{"s0"})
 	require.Equal(t, map[string]int{"s1": 50}, b.picks(50, Request{Model: "m"}))
 }
 
-// A backend server that says it has no load gets its share, not everything:
-// own requests are counted by the entry itself.
-func TestLyingLoadDoesNotAttractAll(t *testing.T) {
-	b := newBed(t, 4, Config{})
+// A backend server that wrongly reports no load must not get all requests: the
+// entry counts its own requests itself.
+func TestZeroReportedLoadDoesNotAttractAllRequests(t *testing.T) {
+	b := newTestTable(t, 4, Config{})
 	for i := range 4 {
 		st := AgentState{Concurrency: 50, ReportedLoad: 0.3}
 		if i == 0 {
@@ -203,21 +204,21 @@
 	require.Less(t, counts["s0"], 40, "%v", counts)
 }
 
-// A load figure that stays the same loses its weight: the backend server may
-// have stopped reporting.
+// A reported load that stays the same decays: the backend server may have stopped
+// updating it.
 func TestStaleLoadDecays(t *testing.T) {
-	b := newBed(t, 2, Config{})
+	b := newTestTable(t, 2, Config{})
 	for range 10 {
 		b.send(0, AgentState{ReportedLoad: 0.74, Concurrency: 100}, "v1")
 		b.send(1, AgentState{ReportedLoad: 0.1, Concurrency: 100}, "v1")
-		b.wait(2 * time.Second)
+		b.advance(2 * time.Second)
 	}
-	counts := b.balance(40)
+	counts := b.dispatchMany(40)
 	require.Greater(t, counts["s0"], 10, "%v", counts)
 }
 
-// balance dispatches n requests that stay in flight.
-func (b *bed) balance(n int) map[string]int {
+// dispatchMany dispatches n requests that stay in flight.
+func (b *testTable) dispatchMany(n int) map[string]int {
 	counts := map[string]int{}
 	for i := range n {
 		c, reason := b.pick(Request{Model: "m"})
@@ -229,18 +230,18 @@
 }
 
 func TestNewReplicaIsWarmed(t *testing.T) {
-	b := newBed(t, 4, Config{})
+	b := newTestTable(t, 4, Config{})
 	b.state(3, "")
-	b.state(3, "v1") // comes live while known
+	b.state(3, "v1") // becomes live after the first message
 	cold := b.picks(400, Request{Model: "m"})["s3"]
 	require.Less(t, cold, 40)
-	b.wait(20 * time.Second)
+	b.advance(20 * time.Second)
 	b.heartbeats("v1", 0, 1, 2, 3)
 	require.Greater(t, b.picks(400, Request{Model: "m"})["s3"], 60)
 }
 
-func TestNearGoesFirstAndSpills(t *testing.T) {
-	b := newBed(t, 6, Config{})
+func TestNearServersArePreferredUntilLoaded(t *testing.T) {
+	b := newTestTable(t, 6, Config{})
 	for i := range 3 {
 		m := member(i, inventory.MemberUp)
 		m.Zone = "b1"
@@ -256,7 +257,7 @@
 }
 
 func TestPrefixStaysUntilLoaded(t *testing.T) {
-	b := newBed(t, 5, Config{})
+	b := newTestTable(t, 5, Config{})
 	req := Request{Model: "m", Prefix: 77}
 	c, _ := b.pick(req)
 	require.Equal(t, map[string]int{c.VM: 20}, b.picks(20, req))
@@ -265,7 +266,7 @@
 	}
 	other, _ := b.pick(req)
 	require.NotEqual(t, c.VM, other.VM)
-	// Most prefixes keep their owner when another backend server goes.
+	// Prefixes keep their owner when another backend server is excluded.
 	moved := 0
 	for prefix := range uint64(200) {
 		before, _ := b.pick(Request{Model: "m", Prefix: prefix + 1000})
@@ -277,8 +278,8 @@
 	require.Zero(t, moved)
 }
 
-func TestCacheHintsAreOnlyHints(t *testing.T) {
-	b := newBed(t, 8, Config{CacheHints: 4})
+func TestCacheHintsOnlyReorderTheFirstTwo(t *testing.T) {
+	b := newTestTable(t, 8, Config{CacheHints: 4})
 	req := Request{Model: "m", Prefix: 77}
 	owner, _ := b.pick(req)
 	second, _ := b.pick(Request{Model: "m", Prefix: 77, Excluded: []string{owner.VM}})
@@ -300,18 +301,18 @@
 }
 
 func TestRoomSumsFreeSlots(t *testing.T) {
-	b := newBed(t, 3, Config{})
+	b := newTestTable(t, 3, Config{})
 	b.step(Dispatched{VM: "s0", ID: "1"})
 	b.send(1, AgentState{Leaving: true}, "v1")
 	room := b.table.View().Room(b.now, Request{Service: "chat", Model: "m"})
 	require.Equal(t, Room{Servers: 2, Slots: 8, Own: 1, Free: 7}, room)
 }
 
-// Where entries together put too much on a backend server, each gives up its
-// part; a fresh count by the agent holds at once, in every view.
-func TestRoomSharesWhatIsTooMuch(t *testing.T) {
-	b := newBed(t, 1, Config{})
-	b.beat(1, 0)
+// If the entries together exceed the slots of a backend server, each gives up its
+// part. A new count by the agent is visible at once in every view.
+func TestRoomSharesExcessRequests(t *testing.T) {
+	b := newTestTable(t, 1, Config{})
+	b.advanceWithHeartbeats(1, 0)
 	slots := b.table.View().Room(b.now, Request{Service: "chat", Model: "m"}).Slots
 	view := b.table.View()
 	for i := range slots / 2 {
--- a/internal/routing/warmup.go
+++ b/internal/routing/warmup.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// warmUpShare is the share of requests a replica gets that has been live
-// since then: rising evenly from the floor to 1.
+// warmUpShare is the share of requests of a replica that became live at since. It
+// rises linearly from WarmUpFloor to 1.
 func warmUpShare(now, since time.Time, cfg *Config) float64 {
 	if since.IsZero() {
 		return 1
