--- a/internal/clock/boottime_other.go
+++ b/internal/clock/boottime_other.go
@@ -7,5 +7,5 @@
 	"time"
 )
 
-// bootTime is known on Linux only.
+// bootTime is implemented on Linux only.
 func bootTime() (time.Duration, error) { return 0, errors.ErrUnsupported }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,11 +1,10 @@
-// Package clock is the time by which the system judges ages and deadlines: how old news is,
-// until when weights may be used, when a caller gives up. It goes on while the VM is suspended,
-// which Go's own steady clock (CLOCK_MONOTONIC) does not, and does not follow steps of the time of
-// day.
+// Package clock provides the time used for ages and deadlines: the age of a snapshot or report,
+// how long weights may be used, when a caller's deadline passes. It keeps counting while the VM is
+// suspended, unlike Go's monotonic clock (CLOCK_MONOTONIC), and ignores steps of the wall clock.
 //
-// State: how long the VM was suspended since the process started. Messages: none. Now costs no
-// system call unless the time of day and the steady clock have moved apart: both move apart by
-// a suspension and by a step of the time of day, and only then CLOCK_BOOTTIME tells which it was.
+// State: the total suspension of the VM since the process started. Messages: none. Now makes no
+// extra system call unless the wall clock and the monotonic clock have drifted apart. A suspension
+// and a step of the wall clock both cause that; CLOCK_BOOTTIME is then read to tell them apart.
 package clock
 
 import (
@@ -16,84 +15,85 @@
 )
 
 const (
-	// tolerance is by how much the time of day may move against the steady clock before
-	// CLOCK_BOOTTIME is asked: less than any age is judged by, more than a slewed clock moves
-	// in seconds.
-	tolerance = 10 * time.Millisecond
-	// leastSuspension is what is taken for one: the three clocks are not read at one moment.
-	leastSuspension = 2 * time.Millisecond
-	// watchInterval is how often a suspension is looked for that a step of the time of day
-	// has hidden.
+	// driftTolerance is the drift between the wall clock and the monotonic clock above which
+	// CLOCK_BOOTTIME is read. It is below any age limit in the system and above what slewing
+	// moves the wall clock within seconds.
+	driftTolerance = 10 * time.Millisecond
+	// minSuspension is the shortest difference counted as a suspension: the three clocks are
+	// not read at the same instant.
+	minSuspension = 2 * time.Millisecond
+	// watchInterval is how often Watch reads CLOCK_BOOTTIME, to find suspensions that a step of
+	// the wall clock has cancelled out.
 	watchInterval = time.Second
 )
 
 // Source reads the clocks of a VM.
 type Source struct {
-	// Drift returns by how much the time of day is ahead of the steady clock, since some
-	// fixed moment. It is read at each Now and must be cheap.
+	// Drift returns how far the wall clock has moved ahead of the monotonic clock since some
+	// fixed instant. Every Now calls it, so it must be cheap.
 	Drift func(now time.Time) time.Duration
-	// Boot returns the time since some fixed moment, suspensions included.
+	// Boot returns the time since some fixed instant, including suspensions.
 	Boot func() (time.Duration, error)
 }
 
-// Clock adds suspensions to the steady clock. It is safe for concurrent use.
+// Clock adds suspensions to the monotonic clock. It is safe for concurrent use.
 type Clock struct {
 	source    Source
 	suspended atomic.Int64 // ns
-	drift     atomic.Int64 // ns, as of the last look
+	drift     atomic.Int64 // ns, as of the last check
 
 	mu sync.Mutex
-	// start and boot are one moment by the steady clock and by Boot.
+	// start and boot are the same instant, by the monotonic clock and by Boot.
 	start time.Time
 	boot  time.Duration
-	// broken: CLOCK_BOOTTIME can't be read here, and suspensions are not seen.
-	broken bool
+	// bootTimeUnavailable means that CLOCK_BOOTTIME can't be read, so suspensions are not detected.
+	bootTimeUnavailable bool
 }
 
-// New returns a clock that begins to watch now.
+// New returns a clock that counts suspensions from now on.
 func New(source Source) *Clock {
 	c := &Clock{source: source, start: time.Now()}
 	var err error
 	if c.boot, err = source.Boot(); err != nil {
-		c.broken = true
+		c.bootTimeUnavailable = true
 	}
 	c.drift.Store(int64(source.Drift(c.start)))
 	return c
 }
 
-// Now returns a time whose steady part counts suspensions. It is for ages and deadlines: its time
-// of day is ahead by the suspensions since the start.
+// Now returns a time whose monotonic reading includes suspensions. Use it for ages and deadlines
+// only: its wall clock reading is ahead by the suspensions since the start.
 func (c *Clock) Now() time.Time {
 	now := time.Now()
-	if moved := c.source.Drift(now) - time.Duration(c.drift.Load()); moved.Abs() > tolerance {
-		c.look()
+	if moved := c.source.Drift(now) - time.Duration(c.drift.Load()); moved.Abs() > driftTolerance {
+		c.updateSuspended()
 	}
 	return now.Add(time.Duration(c.suspended.Load()))
 }
 
-// Suspended returns for how long the VM was suspended since the start.
+// Suspended returns the total suspension of the VM since the start.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// look finds out whether the VM was suspended.
-func (c *Clock) look() {
+// updateSuspended updates the total suspension from CLOCK_BOOTTIME.
+func (c *Clock) updateSuspended() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	c.drift.Store(int64(c.source.Drift(now)))
-	if c.broken {
+	if c.bootTimeUnavailable {
 		return
 	}
 	boot, err := c.source.Boot()
 	if err != nil {
-		return // it could be read before; the next look asks again
+		return // it was readable before; the next check retries
 	}
 	suspended := boot - c.boot - now.Sub(c.start)
-	if suspended-c.Suspended() > leastSuspension {
+	if suspended-c.Suspended() > minSuspension {
 		c.suspended.Store(int64(suspended))
 	}
 }
 
-// Watch calls resumed after each suspension, with its length, until ctx is done.
+// Watch calls resumed with the length of each suspension until ctx is done.
 func (c *Clock) Watch(ctx context.Context, resumed func(time.Duration)) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
@@ -104,7 +104,7 @@
 		case <-ctx.Done():
 			return
 		}
-		c.look()
+		c.updateSuspended()
 		if now := c.Suspended(); now > known {
 			resumed(now - known)
 			known = now
@@ -112,30 +112,31 @@
 	}
 }
 
-// std is the clock of this process.
+// std is the clock of the process.
 var std atomic.Pointer[Clock]
 
 func init() { std.Store(New(system())) }
 
-// Use replaces the clock of the process, in tests, and returns what puts the former back.
+// Use replaces the clock of the process in a test; restore undoes it.
 func Use(c *Clock) (restore func()) {
-	former := std.Swap(c)
-	return func() { std.Store(former) }
+	previous := std.Swap(c)
+	return func() { std.Store(previous) }
 }
 
-// Now is Clock.Now of the process.
+// Now calls Clock.Now on the clock of the process.
 func Now() time.Time { return std.Load().Now() }
 
-// Since returns how long ago t was, by Now.
+// Since returns the time elapsed from t to Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns how far ahead t is, by Now.
+// Until returns the time from Now to t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Deadline returns t, which is by Now, as timers and connections of the runtime count.
+// Deadline converts t, a time based on Now, to the clock that timers, contexts and connections
+// of the Go runtime use.
 func Deadline(t time.Time) time.Time { return t.Add(-std.Load().Suspended()) }
 
-// Watch is Clock.Watch of the process.
+// Watch calls Clock.Watch on the clock of the process.
 func Watch(ctx context.Context, resumed func(time.Duration)) { std.Load().Watch(ctx, resumed) }
 
 // system reads the clocks of the VM.
@@ -143,7 +144,7 @@
 	start := time.Now()
 	return Source{
 		Drift: func(now time.Time) time.Duration {
-			return now.Round(0).Sub(start.Round(0)) - now.Sub(start) // Round strips the steady part
+			return now.Round(0).Sub(start.Round(0)) - now.Sub(start) // Round strips the monotonic reading
 		},
 		Boot: bootTime,
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,18 +12,18 @@
 	"lynxgate.dev/lynxgate/internal/clock/clocktest"
 )
 
-func TestSuspensionCountsAtTheFirstLook(t *testing.T) {
+func TestNowIncludesSuspensionWithoutWatch(t *testing.T) {
 	vm := clocktest.New()
 	c := clock.New(vm.Source())
 	before := c.Now()
 	vm.Suspend(5 * time.Second)
-	assert.InDelta(t, 5, c.Now().Sub(before).Seconds(), 0.5, "no timer has had a turn")
+	assert.InDelta(t, 5, c.Now().Sub(before).Seconds(), 0.5, "counted at the first Now, without Watch")
 	assert.InDelta(t, 5, c.Suspended().Seconds(), 0.1)
 	vm.Suspend(2 * time.Second)
 	assert.InDelta(t, 7, c.Now().Sub(before).Seconds(), 0.5)
 }
 
-func TestStepOfTheTimeOfDayIsNoSuspension(t *testing.T) {
+func TestWallClockStepIsNoSuspension(t *testing.T) {
 	vm := clocktest.New()
 	c := clock.New(vm.Source())
 	before := c.Now()
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestSuspensionHiddenByAStep: the time of day was set back while the VM was suspended, so
-// that it seems to have stood still; the watch sees it.
-func TestSuspensionHiddenByAStep(t *testing.T) {
+// The wall clock is set back by the length of the suspension, so there is no drift; only Watch
+// detects it.
+func TestWatchDetectsSuspensionHiddenByStep(t *testing.T) {
 	vm := clocktest.New()
 	c := clock.New(vm.Source())
 	vm.Suspend(5 * time.Second)
@@ -45,7 +45,7 @@
 	assert.InDelta(t, 5, (<-seen).Seconds(), 0.1)
 }
 
-func TestWithoutBootTimeTheSteadyClockIsLeft(t *testing.T) {
+func TestWithoutBootTimeNowFollowsMonotonicClock(t *testing.T) {
 	vm := clocktest.New()
 	source := vm.Source()
 	source.Boot = func() (time.Duration, error) { return 0, errors.ErrUnsupported }
@@ -55,7 +55,7 @@
 	assert.InDelta(t, 0, c.Now().Sub(before).Seconds(), 0.5)
 }
 
-func TestDeadlinesOfTheRuntime(t *testing.T) {
+func TestDeadlineConvertsToRuntimeClock(t *testing.T) {
 	vm := clocktest.Install(t)
 	vm.Suspend(5 * time.Second)
 	by := clock.Now().Add(time.Second)
@@ -63,16 +63,15 @@
 	assert.InDelta(t, 1, time.Until(clock.Deadline(by)).Seconds(), 0.1)
 }
 
-// TestClockOfTheVM: the process's own clock goes as the steady clock does where nothing is
-// suspended.
-func TestClockOfTheVM(t *testing.T) {
-	began, steady := clock.Now(), time.Now()
+// Without suspensions the default clock runs like the monotonic clock.
+func TestDefaultClockFollowsMonotonicClock(t *testing.T) {
+	began, monotonic := clock.Now(), time.Now()
 	time.Sleep(20 * time.Millisecond)
-	assert.InDelta(t, time.Since(steady).Seconds(), clock.Since(began).Seconds(), 0.01)
+	assert.InDelta(t, time.Since(monotonic).Seconds(), clock.Since(began).Seconds(), 0.01)
 }
 
 func BenchmarkNow(b *testing.B) {
-	b.Run("steady clock", func(b *testing.B) {
+	b.Run("monotonic clock", func(b *testing.B) {
 		for b.Loop() {
 			time.Now()
 		}
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -1,4 +1,4 @@
-// Package clocktest moves the clocks of a VM apart, for tests.
+// Package clocktest simulates suspensions and wall clock steps of a VM in tests.
 package clocktest
 
 import (
@@ -9,27 +9,27 @@
 	"lynxgate.dev/lynxgate/internal/clock"
 )
 
-// VM is a VM whose clocks a test moves; the steady clock is the real one.
+// VM simulates the clocks of a VM; its monotonic clock is the real one.
 type VM struct {
 	start     time.Time
 	suspended atomic.Int64
 	stepped   atomic.Int64
 }
 
-// New returns a VM whose clocks agree.
+// New returns a VM without suspensions or steps.
 func New() *VM { return &VM{start: time.Now()} }
 
-// Install makes the clocks of a VM those of the process until the test has ended.
+// Install replaces the clock of the process by that of a new VM for the duration of the test.
 func Install(t testing.TB) *VM {
 	vm := New()
 	t.Cleanup(clock.Use(clock.New(vm.Source())))
 	return vm
 }
 
-// Suspend lets this time pass without the steady clock.
+// Suspend advances the wall clock and the boot time, but not the monotonic clock.
 func (vm *VM) Suspend(d time.Duration) { vm.suspended.Add(int64(d)) }
 
-// Step moves the time of day alone.
+// Step moves the wall clock alone.
 func (vm *VM) Step(d time.Duration) { vm.stepped.Add(int64(d)) }
 
 // Source reads the VM's clocks.
