--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,5 +1,5 @@
-// Package durable writes small files so that they survive a crash whole: the
-// old content or the new, never a part. It keeps no state.
+// Package durable replaces small files atomically: after a crash a file has
+// either its old or its new content, never a part of it. It keeps no state.
 package durable
 
 import (
@@ -8,24 +8,25 @@
 	"path/filepath"
 )
 
-// asideSuffix marks a file that is being written.
-const asideSuffix = ".new"
+// tempSuffix marks the temporary file that holds the new content.
+const tempSuffix = ".new"
 
-// ReplaceFile replaces the content of the file at path: the data is written
-// aside, synced and renamed into place, and the folder is synced. After an
-// error the old content stands, or the new one if only the last sync failed.
+// ReplaceFile atomically replaces the content of the file at path: it writes
+// and syncs a temporary file, renames it to path and syncs the folder. After
+// an error the file has its old content, or the new one if only the sync of
+// the folder failed.
 func ReplaceFile(path string, data []byte, mode os.FileMode) error {
-	aside := path + asideSuffix
-	if err := writeSynced(aside, data, mode); err != nil {
+	temp := path + tempSuffix
+	if err := writeSynced(temp, data, mode); err != nil {
 		return fmt.Errorf("write %s: %w", path, err)
 	}
-	if err := os.Rename(aside, path); err != nil {
+	if err := os.Rename(temp, path); err != nil {
 		return fmt.Errorf("replace %s: %w", path, err)
 	}
 	return SyncDir(filepath.Dir(path))
 }
 
-// SyncDir makes what was created, renamed or removed in a folder last.
+// SyncDir makes creations, renames and removals in a folder durable.
 func SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
