--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,6 +1,6 @@
-// Package fleet holds the model of a fleet that operators describe by one
-// versioned document: routes, services, organisations and their keys, and the
-// backend servers that announce themselves. It knows no wire format.
+// Package fleet is the data model of a fleet: the routes, services, organisations
+// and keys that operators declare in one versioned document, and the backend
+// servers that announce themselves. It is independent of wire formats.
 package fleet
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Kind says what may be repeated on a route.
+// Kind says which requests of a route may be retried.
 type Kind uint8
 
 // The kinds of routes.
@@ -18,14 +18,15 @@
 	KindUnsafe Kind = iota
 	// KindSafe requests are idempotent.
 	KindSafe
-	// KindStream answers are streams of events; at most once unless resumable.
+	// KindStream requests are answered with a stream of events. They run at most
+	// once unless the route is resumable.
 	KindStream
 )
 
 // String returns the kind's name in logs.
 func (k Kind) String() string { return [...]string{"unsafe", "safe", "stream"}[k] }
 
-// Config is one version of what the operators declare.
+// Config is one version of the operators' configuration document.
 type Config struct {
 	// Version orders the documents: the highest one is in force.
 	Version       uint64
@@ -35,30 +36,30 @@
 	Limits        Limits
 }
 
-// Route says where requests of one host and path prefix go.
+// Route assigns the requests of one host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the longest time that a caller waits for its answer.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or the first event of a
-	// stream, is on time; GapObjective the longest pause between events.
+	// Objective is the target latency of an answer, or of the first event of a
+	// stream; GapObjective is the target for the longest pause between events.
 	Objective    time.Duration
 	GapObjective time.Duration
-	// Priority is the rank of the route, 0 first.
+	// Priority is the rank of the route; 0 is the highest.
 	Priority int
 	Targets  []Target
-	// MaxAttempts is how many backend servers one request may be sent to.
+	// MaxAttempts is how many backend servers one request may be dispatched to.
 	MaxAttempts int
-	// Anonymous routes ask for no key.
+	// Anonymous routes require no key.
 	Anonymous bool
-	// Resumable streams may go on at another backend server.
+	// Resumable streams may be continued at another backend server.
 	Resumable bool
 }
 
-// Idempotent tells whether a request of this route may run more than once.
+// Idempotent reports whether a request of this route may run more than once.
 func (r *Route) Idempotent() bool {
 	return r.Kind == KindSafe || (r.Kind == KindStream && r.Resumable)
 }
@@ -74,7 +75,7 @@
 	Name string
 	// HealthPath answers 200 while a backend server considers itself healthy.
 	HealthPath string
-	// MaxConns is how many connections a backend server takes from all callers.
+	// MaxConns is how many connections a backend server accepts from all callers.
 	MaxConns int
 	// Engine is set on services of model engines, Origin on origins of weights.
 	Engine *Engine
@@ -86,27 +87,28 @@
 type Engine struct {
 	// Slots is how many requests an engine runs at once.
 	Slots int
-	// Step is the time of one token step; PerSequence is added for each request
-	// that is writing, PerContextToken for each token of their contexts.
+	// Step is the duration of one decoding step. PerSequence is added for each
+	// request that is decoded, PerContextToken for each token of their contexts.
 	Step            time.Duration
 	PerSequence     time.Duration
 	PerContextToken time.Duration
-	// ReadPerSecond is how many prompt tokens are read in a second.
+	// ReadPerSecond is the prefill rate in prompt tokens per second.
 	ReadPerSecond float64
-	// Stride is how many steps one pass with writers takes, and so the tokens
-	// of one event.
+	// Stride is how many decoding steps one pass consists of, and so how many
+	// tokens one event carries.
 	Stride int
 	// UsualPrompt and UsualAnswer are mean sizes in tokens.
 	UsualPrompt int
 	UsualAnswer int
-	// Layers of the model; Pieces and PieceBytes of its weights.
+	// Layers is the number of layers of the model. Pieces is the number of pieces
+	// of its weights, PieceBytes the size of one.
 	Layers     int
 	Pieces     int
 	PieceBytes int
 	Models     []string
 }
 
-// ReadTime is how long the engine reads a prompt of this many tokens.
+// ReadTime returns how long the engine takes to prefill a prompt of this many tokens.
 func (e *Engine) ReadTime(tokens int) time.Duration {
 	if e.ReadPerSecond <= 0 {
 		return 0
@@ -114,21 +116,22 @@
 	return time.Duration(float64(tokens) / e.ReadPerSecond * float64(time.Second))
 }
 
-// Pass is how long one pass takes in which all slots write: a request waits for
-// the one in progress.
+// Pass returns the duration of one pass while all slots decode. A new request
+// waits for the pass in progress.
 func (e *Engine) Pass() time.Duration {
 	return time.Duration(max(e.Stride, 1)) * (e.Step + time.Duration(e.Slots)*e.PerSequence)
 }
 
-// PerRequest is the engine's time for a usual request while all slots are taken:
-// its prompt is read alone, its answer written beside the others.
+// PerRequest returns the engine time that a usual request takes while all slots
+// are in use: its prompt is prefilled alone, its answer decoded together with the
+// others.
 func (e *Engine) PerRequest() time.Duration {
 	step := e.Step + time.Duration(e.Slots)*e.PerSequence
-	writing := time.Duration(e.UsualAnswer) * step / time.Duration(max(e.Slots, 1))
-	return max(e.ReadTime(e.UsualPrompt)+writing, time.Millisecond)
+	decoding := time.Duration(e.UsualAnswer) * step / time.Duration(max(e.Slots, 1))
+	return max(e.ReadTime(e.UsualPrompt)+decoding, time.Millisecond)
 }
 
-// Origin is where the weights come from.
+// Origin is the server from which the weights are fetched.
 type Origin struct {
 	Addr string
 	// LinkMbps is the bandwidth of its link in Mbit/s.
@@ -136,15 +139,15 @@
 	MaxConns int
 }
 
-// Organisation is a customer with the keys of its requests.
+// Organisation is an organisation that sends requests, with its keys.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Priority takes precedence over that of a route; -1 if there is none.
+	// Priority takes precedence over the route's; -1 if it is not set.
 	Priority int
 }
 
-// Limits bound what a client may send; zero is no limit.
+// Limits bounds what a client may send; zero is no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -152,7 +155,7 @@
 	IdleTimeout   time.Duration
 }
 
-// ErrInvalid refuses a configuration that can not be put in force.
+// ErrInvalid is the error for a configuration that cannot be put in force.
 var ErrInvalid = errors.New("invalid configuration")
 
 // Validate checks a whole configuration. Its errors match ErrInvalid and name
--- a/internal/fleet/extract.go
+++ b/internal/fleet/extract.go
@@ -5,11 +5,10 @@
 	"fmt"
 )
 
-// An agent needs the services of a configuration only, which seldom change: routes and
+// Agents receive only the services of a configuration. Services seldom change, and routes and
 // organisations are most of a document.
 
-// EncodeServices returns the services of a configuration, and its version, in a form that
-// DecodeServices reads.
+// EncodeServices encodes the services and the version of a configuration for DecodeServices.
 func EncodeServices(c *Config) ([]byte, error) {
 	data, err := json.Marshal(Config{Version: c.Version, Services: c.Services})
 	if err != nil {
@@ -18,7 +17,7 @@
 	return data, nil
 }
 
-// DecodeServices returns a configuration that holds services only.
+// DecodeServices returns a configuration that has only a version and services.
 func DecodeServices(data []byte) (*Config, error) {
 	c := &Config{}
 	if err := json.Unmarshal(data, c); err != nil {
--- a/internal/fleet/extract_test.go
+++ b/internal/fleet/extract_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestServicesAreReadAsTheyWereWritten(t *testing.T) {
+func TestServicesRoundTripWithoutKeys(t *testing.T) {
 	c := &Config{
 		Version: 7, Routes: []Route{{Name: "r"}}, Organisations: []Organisation{{Name: "o", Keys: []string{"secret"}}},
 		Services: []Service{
--- a/internal/fleet/life.go
+++ b/internal/fleet/life.go
@@ -2,41 +2,42 @@
 
 import "time"
 
-// Life is what is known of the life of one start of a backend server. Two starts
-// that announced themselves at one address can't both be there: the address has
-// passed from one to the other. Ids say nothing about which came first, and
-// announcements come late, also those of a start that has crashed since; so the last
-// one heard is not the one that is there.
+// Life is the observed lifetime of one incarnation of a backend server. It decides
+// which of two incarnations that announced the same address has it now. Neither ids
+// nor the order of arrival show this: announcements may be delayed, also those of an
+// incarnation that has crashed since, so the one received last may be the dead one.
 type Life struct {
-	// StartedAt is when it started, as far as its announcements tell: the least,
-	// over all that were heard, of the time it was heard less one interval for each
-	// announcement before it. A late announcement makes it no later.
+	// StartedAt is the estimated start time. Each announcement yields an estimate:
+	// its time of receipt less one interval for each announcement before it. The
+	// earliest estimate counts, so a delayed announcement does not make it later.
 	StartedAt time.Time
-	// SeenAt is when it was last heard.
+	// SeenAt is when the last announcement was received.
 	SeenAt time.Time
 }
 
 const (
-	// startSlack is by how much two starts at one address must differ before their
-	// order is believed: some announcements that were repeated, which count as
-	// intervals, or that came late. Closer ones are both tried; a server that is
-	// asked for another start says so and does not run the request.
-	startSlack = 2 * time.Second
-	// takeoverAfter is for how long a start must go on to be heard after the later
-	// one fell silent before the order is doubted: four announcements of 1.2 s. One
-	// late announcement alone must not bring a dead start back while the other's
-	// next one is under way.
-	takeoverAfter = 5 * time.Second
+	// startMargin is by how much the estimated starts of two incarnations at one
+	// address must differ before their order counts. It covers some delayed
+	// announcements, and some repeated ones, which count as intervals. Requests may
+	// be dispatched to either of two closer incarnations: a server refuses a request
+	// for another incarnation without running it.
+	startMargin = 2 * time.Second
+	// lateAnnouncementTolerance is for how long after the last announcement of the
+	// later incarnation those of the earlier one do not count against their order:
+	// four announcements at intervals of 1.2 s. A single late announcement must not
+	// revive a dead incarnation while the next one of the other is in transit.
+	lateAnnouncementTolerance = 5 * time.Second
 )
 
-// Life returns what is known of the life of this start.
+// Life returns the observed lifetime of this incarnation.
 func (b *BackendServer) Life() Life { return Life{StartedAt: b.StartedAt, SeenAt: b.SeenAt} }
 
-// EndedBefore tells whether another start at the same address shows that this one has
-// ended. Of two starts at most one has ended before the other.
+// EndedBefore reports whether another incarnation at the same address shows that this
+// one has ended. Of two incarnations, at most one has ended before the other.
 func (l Life) EndedBefore(other Life) bool {
-	return l.startedBefore(other) && l.SeenAt.Sub(other.SeenAt) <= takeoverAfter
+	return l.startedBefore(other) && l.SeenAt.Sub(other.SeenAt) <= lateAnnouncementTolerance
 }
 
-// startedBefore tells whether this start is the earlier one for sure.
-func (l Life) startedBefore(other Life) bool { return other.StartedAt.Sub(l.StartedAt) > startSlack }
+// startedBefore reports whether this incarnation started earlier, beyond the error of the
+// estimates.
+func (l Life) startedBefore(other Life) bool { return other.StartedAt.Sub(l.StartedAt) > startMargin }
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// State is what a backend server says of itself.
+// State is the state that a backend server announces.
 type State uint8
 
-// The states of a backend server. A later one is never left for an earlier one.
+// The states of a backend server. An incarnation never returns to an earlier state.
 const (
 	StateReady State = iota
-	// StateDraining servers take no new requests.
+	// StateDraining servers accept no new requests.
 	StateDraining
-	// StateGone servers have taken their leave.
+	// StateGone servers have announced that they left.
 	StateGone
 )
 
 // String returns the state's name in logs.
 func (s State) String() string { return [...]string{"ready", "draining", "gone"}[s] }
 
-// Loaded is a version of a model's weights that an engine holds, with the
+// Loaded is a version of a model's weights that an engine has loaded, with the
 // layers [From, To).
 type Loaded struct {
 	Model    string
@@ -28,31 +28,31 @@
 	From, To int
 }
 
-// BackendServer is one start of a backend server as it announces itself.
+// BackendServer is one incarnation of a backend server, as announced.
 type BackendServer struct {
-	// ID names the server; Addr may have belonged to others before.
+	// ID names the server; other servers may have had Addr before.
 	ID string
-	// Born is when this start began, in Unix milliseconds by the server's own clock; 0 if
-	// it does not say. It tells starts under one ID apart: the later one is another server,
-	// and what an earlier one said counts for nothing.
+	// Born is when this incarnation started, in Unix milliseconds by the server's own clock;
+	// 0 if it does not announce it. It distinguishes incarnations with one ID: the later one
+	// replaces the earlier one, whose announcements no longer count.
 	Born    int64
 	Service string
 	Addr    string
 	Zone    string
 	Slots   int
 	State   State
-	// Seq rises with each announcement.
+	// Seq increases with each announcement.
 	Seq uint64
-	// Cold is how much longer the server is slow after its start.
+	// Cold is for how much longer the server is slow after its start.
 	Cold   time.Duration
 	Models []Loaded
-	// SeenAt is when its newest announcement was received here.
+	// SeenAt is when this process received the newest announcement.
 	SeenAt time.Time
-	// StartedAt is when it started, as estimated here; see Life.
+	// StartedAt is this process's estimate of the start time; see Life.
 	StartedAt time.Time
 }
 
-// Start names this start of the server among all starts of all servers.
+// Start returns the name of this incarnation, unique among those of all servers.
 func (b *BackendServer) Start() string {
 	if b.Born == 0 {
 		return b.ID
@@ -60,8 +60,8 @@
 	return b.ID + "@" + strconv.FormatInt(b.Born, 10)
 }
 
-// Holds returns the version of a model that the server holds whole; 0 if it
-// does not. Layers of 0 are not checked.
+// Holds returns the version of a model that the server has loaded with all its layers,
+// 0 if there is none. With layers of 0 the range of layers is not checked.
 func (b *BackendServer) Holds(model string, layers int) uint64 {
 	for _, m := range b.Models {
 		if m.Model == model && (layers == 0 || (m.From == 0 && m.To >= layers)) {
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Table is a configuration prepared for looking things up; it is immutable.
+// Table is a configuration with indexes for lookups; it is immutable.
 type Table struct {
 	Config   *Config
 	hosts    map[string][]*Route
@@ -14,7 +14,7 @@
 	holders  map[string]*Organisation
 }
 
-// NewTable prepares a valid configuration.
+// NewTable indexes a valid configuration.
 func NewTable(c *Config) *Table {
 	t := &Table{
 		Config:   c,
@@ -40,8 +40,8 @@
 	return t
 }
 
-// Route returns the route of the host with the longest prefix of path, nil if
-// there is none.
+// Route returns the host's route whose prefix is the longest match of path, nil
+// if none matches.
 func (t *Table) Route(host, path string) *Route {
 	for _, r := range t.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -57,7 +57,8 @@
 // Holder returns the organisation that holds a key, nil if none does.
 func (t *Table) Holder(key string) *Organisation { return t.holders[key] }
 
-// HasOrganisations tells whether requests need a key at all.
+// HasOrganisations reports whether any organisation is declared; if none is,
+// requests need no key.
 func (t *Table) HasOrganisations() bool { return len(t.Config.Organisations) > 0 }
 
 // Origin returns the origin of weights, nil if none is declared.
