--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,9 +1,10 @@
-// Package directory keeps what is known of the backend servers: each announces
-// itself to some control server, late and out of order, and the control servers
-// spread it. State: the newest announcement by server. Merging is idempotent
-// and commutative, so that any order and repetition gives the same result. Starts under one
-// id are told apart by when they were born: the later one replaces the former, of which
-// nothing counts any more. A leave that does not tell its start is of the one known here.
+// Package directory merges the announcements of backend servers into a table. Each
+// server announces itself to some control server, and control servers forward the
+// announcements, late and out of order. State: the newest announcement by server.
+// Merging is idempotent and commutative, so the result does not depend on order or
+// repetition. Incarnations with one id are distinguished by Born: the later one
+// replaces the earlier one, whose announcements no longer count. A leave without Born
+// applies to the incarnation known here.
 package directory
 
 import (
@@ -13,13 +14,14 @@
 	"lynxgate.dev/lynxgate/internal/fleet"
 )
 
-// forgetAfter is for how long a server that left or fell silent is remembered, so
-// that an announcement delayed on its way does not bring it back. Announcements
-// come seconds late at most.
+// forgetAfter is for how long the record of a server that left or fell silent is
+// kept, so that a delayed announcement does not add the server again. Announcements
+// are delayed by seconds at most.
 const forgetAfter = 60 * time.Second
 
-// maxLife bounds what a sequence number is taken to say of a server's age.
-const maxLife = 10 * 365 * 24 * time.Hour
+// maxAge bounds the age of a server that is derived from a sequence number, so that
+// the duration does not overflow.
+const maxAge = 10 * 365 * 24 * time.Hour
 
 // Directory is a table of backend servers. It is not safe for concurrent use.
 type Directory struct {
@@ -29,49 +31,49 @@
 }
 
 // New returns an empty directory of servers that announce themselves at this interval,
-// 0 if it isn't known.
+// 0 if it is not known.
 func New(interval time.Duration) *Directory {
 	return &Directory{servers: map[string]*fleet.BackendServer{}, interval: interval}
 }
 
-// Change tells what an announcement changed.
+// Change says what an announcement changed.
 type Change uint8
 
 // The changes.
 const (
-	// Unchanged: the announcement is old.
+	// Unchanged: the announcement is outdated.
 	Unchanged Change = iota
-	// Renewed: only the sequence number and the time are new.
+	// Renewed: only the sequence number and the time of receipt are new.
 	Renewed
-	// Changed: the record says something else than before.
+	// Changed: the record differs from the one before.
 	Changed
 )
 
-// Merge takes an announcement in.
+// Merge merges an announcement into the table.
 func (d *Directory) Merge(b fleet.BackendServer) Change {
-	b.StartedAt = d.startedAt(b.Seq, b.SeenAt)
+	b.StartedAt = d.estimateStart(b.Seq, b.SeenAt)
 	known, ok := d.servers[b.ID]
 	if !ok {
 		d.servers[b.ID] = &b
 		return Changed
 	}
 	if b.Born != 0 && b.Born < known.Born {
-		return Unchanged // of a start before the one that is known
+		return Unchanged // an earlier incarnation
 	}
 	if known.Born != 0 && b.Born > known.Born {
 		return d.replace(known, b)
 	}
 	b.Born = max(b.Born, known.Born)
-	known = d.noteStart(known, b.StartedAt)
+	known = d.lowerStart(known, b.StartedAt)
 	b.StartedAt = known.StartedAt
 	if b.State < known.State {
-		return Unchanged // it has said that it leaves
+		return Unchanged // states only advance
 	}
 	if b.Seq <= known.Seq && b.State == known.State {
 		return Unchanged
 	}
 	if b.State == fleet.StateGone && b.Addr == "" {
-		b = leave(known, b)
+		b = recordOfLeave(known, b)
 	}
 	change := Renewed
 	if !sameRecord(known, &b) {
@@ -85,8 +87,9 @@
 	return change
 }
 
-// replace takes a later start under the same id in: nothing is left of the former one,
-// but its address if the later one has said nothing but that it leaves.
+// replace replaces the record of an incarnation by that of a later one with the same id.
+// If the later one has announced only that it leaves, its record gets the service, the
+// address, the zone and the slots of the former one.
 func (d *Directory) replace(former *fleet.BackendServer, b fleet.BackendServer) Change {
 	if b.State == fleet.StateGone && b.Addr == "" {
 		b.Service, b.Addr, b.Zone, b.Slots = former.Service, former.Addr, former.Zone, former.Slots
@@ -95,19 +98,20 @@
 	return Changed
 }
 
-// startedAt is when a server started that is heard with this sequence number, which
-// rises by one with each announcement: this late at the latest, if it was not
-// repeated more often than it was delayed.
-func (d *Directory) startedAt(seq uint64, at time.Time) time.Time {
+// estimateStart estimates when a server started from the sequence number of an announcement
+// and its time of receipt. The sequence number rises by one with each announcement. The
+// server started no later than the estimate, unless announcements were repeated for more
+// intervals than this one was delayed.
+func (d *Directory) estimateStart(seq uint64, at time.Time) time.Time {
 	if d.interval <= 0 {
 		return at
 	}
-	return at.Add(-time.Duration(min(seq, uint64(maxLife/d.interval))) * d.interval)
+	return at.Add(-time.Duration(min(seq, uint64(maxAge/d.interval))) * d.interval)
 }
 
-// noteStart returns the record of a server with the earlier one of two estimates of
-// its start.
-func (d *Directory) noteStart(known *fleet.BackendServer, startedAt time.Time) *fleet.BackendServer {
+// lowerStart stores an estimate of the start of a server if it is earlier than the one
+// known, and returns the record.
+func (d *Directory) lowerStart(known *fleet.BackendServer, startedAt time.Time) *fleet.BackendServer {
 	if !startedAt.Before(known.StartedAt) {
 		return known
 	}
@@ -117,22 +121,22 @@
 	return &next
 }
 
-// leave is the record of a server of which only the id is told.
-func leave(known *fleet.BackendServer, b fleet.BackendServer) fleet.BackendServer {
+// recordOfLeave returns the record of a server that has left with an announcement of its id only.
+func recordOfLeave(known *fleet.BackendServer, b fleet.BackendServer) fleet.BackendServer {
 	next := *known
 	next.State = fleet.StateGone
 	next.SeenAt, next.Born = b.SeenAt, b.Born
 	return next
 }
 
-// Renew notes that a server was heard with this sequence number. born is of the start
-// that was heard, 0 if it is not known.
+// Renew records the receipt of an announcement with this sequence number that changes
+// nothing else. born is of the incarnation that sent it, 0 if it is not known.
 func (d *Directory) Renew(id string, born int64, seq uint64, at time.Time) Change {
 	known, ok := d.servers[id]
 	if !ok || seq <= known.Seq || born != 0 && known.Born != 0 && born != known.Born {
 		return Unchanged
 	}
-	next := *d.noteStart(known, d.startedAt(seq, at))
+	next := *d.lowerStart(known, d.estimateStart(seq, at))
 	next.Seq = seq
 	next.SeenAt = at
 	d.servers[id] = &next
@@ -144,7 +148,7 @@
 		a.State == b.State && (a.Cold > 0) == (b.Cold > 0) && slices.Equal(a.Models, b.Models)
 }
 
-// Forget drops servers that were not heard for long.
+// Forget drops servers that have sent no announcement for forgetAfter.
 func (d *Directory) Forget(now time.Time) {
 	for id, b := range d.servers {
 		if now.Sub(b.SeenAt) > forgetAfter {
@@ -153,10 +157,11 @@
 	}
 }
 
-// Get returns a server's record, nil if it is not known. It must not be changed.
+// Get returns a server's record, nil if it is not known. The caller must not change it.
 func (d *Directory) Get(id string) *fleet.BackendServer { return d.servers[id] }
 
-// Replaced tells whether a later start has a server's address.
+// Replaced reports whether a later incarnation, under another id, has taken over a
+// server's address.
 func (d *Directory) Replaced(b *fleet.BackendServer) bool {
 	for _, other := range d.servers {
 		if other.ID != b.ID && other.Addr == b.Addr && b.Life().EndedBefore(other.Life()) {
@@ -166,7 +171,7 @@
 	return false
 }
 
-// All returns all records, in no order. They must not be changed.
+// All returns all records, in no order. The caller must not change them.
 func (d *Directory) All() []*fleet.BackendServer {
 	all := make([]*fleet.BackendServer, 0, len(d.servers))
 	for _, b := range d.servers {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"lynxgate.dev/lynxgate/internal/fleet"
-	_ "lynxgate.dev/lynxgate/internal/testseed" // the same announcements every run
+	_ "lynxgate.dev/lynxgate/internal/testseed" // the same announcements in every run
 )
 
 func server(seq uint64, state fleet.State) fleet.BackendServer {
@@ -24,7 +24,7 @@
 	assert.EqualValues(t, 6, d.Get("a").Seq)
 }
 
-func TestServerThatLeavesDoesNotComeBack(t *testing.T) {
+func TestLateAnnouncementDoesNotUndoLeave(t *testing.T) {
 	d := New(0)
 	d.Merge(server(5, fleet.StateReady))
 	assert.Equal(t, Changed, d.Merge(server(6, fleet.StateDraining)))
@@ -32,7 +32,7 @@
 	assert.Equal(t, Changed, d.Merge(fleet.BackendServer{ID: "a", State: fleet.StateGone}))
 	assert.Equal(t, Unchanged, d.Merge(server(10, fleet.StateDraining)))
 	assert.Equal(t, fleet.StateGone, d.Get("a").State)
-	assert.Equal(t, "s", d.Get("a").Service, "a leave tells the id only")
+	assert.Equal(t, "s", d.Get("a").Service, "a leave contains only the id")
 }
 
 func TestLeaveOfUnknownServerIsKept(t *testing.T) {
@@ -42,18 +42,18 @@
 	assert.Equal(t, fleet.StateGone, d.Get("a").State)
 }
 
-// starts of a server of 1 s between announcements, in the order of its life.
+// announced returns an announcement received at this Unix time in seconds.
 func announced(id string, seq uint64, seenAt int64) fleet.BackendServer {
 	return fleet.BackendServer{ID: id, Service: "s", Addr: "127.0.0.1:1", Seq: seq, SeenAt: time.Unix(seenAt, 0)}
 }
 
-func TestLateAnnouncementOfADeadStartDoesNotEndTheNextOne(t *testing.T) {
+func TestLateAnnouncementOfDeadIncarnationDoesNotEndNextOne(t *testing.T) {
 	for name, d := range map[string]*Directory{
 		"known before":   merged(announced("old", 40, 100), announced("new", 1, 110), announced("old", 41, 113)),
-		"same once more": merged(announced("old", 40, 100), announced("new", 1, 110), announced("old", 40, 113)),
-		"lower, late":    merged(announced("old", 40, 100), announced("new", 1, 110), announced("old", 38, 113)),
-		"new here":       merged(announced("new", 1, 110), announced("old", 41, 113)),
-		"first of all":   merged(announced("old", 41, 113), announced("new", 3, 112)),
+		"repeated":       merged(announced("old", 40, 100), announced("new", 1, 110), announced("old", 40, 113)),
+		"out of order":   merged(announced("old", 40, 100), announced("new", 1, 110), announced("old", 38, 113)),
+		"not known yet":  merged(announced("new", 1, 110), announced("old", 41, 113)),
+		"received first": merged(announced("old", 41, 113), announced("new", 3, 112)),
 		"left meanwhile": merged(announced("old", 40, 100), announced("new", 1, 110), fleet.BackendServer{ID: "new", State: fleet.StateGone, SeenAt: time.Unix(112, 0)}, announced("old", 41, 113)),
 	} {
 		older, newer := d.Get("old").Life(), d.Get("new").Life()
@@ -62,18 +62,18 @@
 	}
 }
 
-func TestStartThatIsHeardOnIsNotTakenForDead(t *testing.T) {
-	// All that was heard of the dead start came late, so it seems to be the later one.
+func TestIncarnationThatKeepsAnnouncingHasNotEnded(t *testing.T) {
+	// All announcements of the dead incarnation were delayed, so it seems to be the later one.
 	d := merged(announced("alive", 20, 120), announced("dead", 1, 120))
 	assert.True(t, d.Get("alive").Life().EndedBefore(d.Get("dead").Life()))
 	d.Renew("alive", 0, 24, time.Unix(124, 0))
-	assert.True(t, d.Get("alive").Life().EndedBefore(d.Get("dead").Life()), "one of them may be late")
+	assert.True(t, d.Get("alive").Life().EndedBefore(d.Get("dead").Life()), "one announcement may be late")
 	d.Renew("alive", 0, 26, time.Unix(126, 0))
 	assert.False(t, d.Get("alive").Life().EndedBefore(d.Get("dead").Life()))
 	assert.False(t, d.Get("dead").Life().EndedBefore(d.Get("alive").Life()))
 }
 
-func TestStartsWithoutAnIntervalAreOrderedByWhenTheyWereFirstHeard(t *testing.T) {
+func TestIncarnationsWithoutIntervalAreOrderedByFirstAnnouncement(t *testing.T) {
 	d := New(0)
 	d.Merge(announced("old", 40, 100))
 	d.Merge(announced("new", 1, 110))
@@ -85,11 +85,11 @@
 	assert.True(t, huge.Get("old").StartedAt.Before(time.Unix(100, 0)), "no overflow")
 }
 
-// TestMergeTakesAnyOrder: announcements of one start and what is derived from them, in
-// any order and any number of times.
-func TestMergeTakesAnyOrder(t *testing.T) {
+// Announcements of one incarnation give the same record in any order and with any
+// repetitions.
+func TestMergeIsCommutativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// A server that has said that it leaves says nothing else later.
+		// The announced state only advances.
 		drains := rapid.Uint64Range(1, 9).Draw(t, "drains")
 		goes := rapid.Uint64Range(drains, 9).Draw(t, "goes")
 		one := rapid.Custom(func(t *rapid.T) fleet.BackendServer {
@@ -111,6 +111,8 @@
 	})
 }
 
+// merged returns a directory that has merged these announcements of servers with an
+// interval of 1 s.
 func merged(announcements ...fleet.BackendServer) *Directory {
 	d := New(time.Second)
 	for _, b := range announcements {
