--- a/internal/ledger/deflate.go
+++ b/internal/ledger/deflate.go
@@ -11,7 +11,7 @@
 // that operators send.
 const maxDocumentBytes = 16 << 20
 
-// Deflate compresses a document for the log and the way to the daemons: a
+// Deflate compresses a document for the log and for the transfer to the daemons: a
 // document of 460 routes shrinks to a tenth.
 func Deflate(document []byte) []byte {
 	var buf bytes.Buffer
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,8 +1,9 @@
 // Package ledger is the replicated state of a fleet: the operators' newest
-// configuration document and the newest version of each model's weights. State:
-// one immutable State, replaced with each change. Messages: FleetCommand from
-// the log. The highest version wins; a lower or equal one changes nothing, so
-// that commands are idempotent and may come in any order.
+// configuration document, the newest version of each model's weights and the
+// quarantined request contents. State: one immutable State, replaced with each
+// change. Messages: FleetCommand from the log. Of documents and versions the
+// highest version wins; a lower or equal one changes nothing, so these commands
+// are idempotent and may be applied in any order.
 package ledger
 
 import (
@@ -21,17 +22,18 @@
 // State is what is committed as of one log entry. It is immutable.
 type State struct {
 	// ConfigVersion is 0 and Config is nil while there is no document. Config is
-	// deflated, see Deflate.
+	// compressed, see Deflate.
 	ConfigVersion uint64
 	Config        []byte
-	Versions      map[string]Version
-	// Held is work that is to be held back, the newest last.
+	// Versions holds the newest version of the weights by model.
+	Versions map[string]Version
+	// Held lists the quarantined request contents, the newest last.
 	Held []quarantine.Digest
 }
 
-// maxHeld bounds the work that the log remembers, 16 bytes each: as much as a control server
-// knows of. The oldest is dropped first.
-const maxHeld = 4096
+// maxQuarantined bounds the quarantined contents in the state, 16 bytes each; it is also the number
+// that a control server keeps in memory. The oldest is dropped first.
+const maxQuarantined = 4096
 
 // Version is a version of a model's weights, and when it was applied here.
 type Version struct {
@@ -41,35 +43,35 @@
 	Previous *Version
 }
 
-// keptVersions bounds the chain of previous versions: those named within the
-// bound on old weights matter, and a bound is some seconds.
+// keptVersions bounds the chain of previous versions: only those named within the
+// time bound on old weights matter, which is some seconds.
 const keptVersions = 8
 
-// Next returns the version that follows v, named at this time.
+// Next returns the version with this number as the successor of v, named at this time.
 func (v Version) Next(number uint64, at time.Time) Version {
 	next := Version{Number: number, AppliedAt: at}
 	if v.Number > 0 {
-		previous := v.cut(keptVersions)
+		previous := v.truncate(keptVersions)
 		next.Previous = &previous
 	}
 	return next
 }
 
-// cut returns v with at most n versions before it.
-func (v Version) cut(n int) Version {
+// truncate returns v with at most n versions before it.
+func (v Version) truncate(n int) Version {
 	if v.Previous != nil {
 		if n <= 1 {
 			v.Previous = nil
 			return v
 		}
-		previous := v.Previous.cut(n - 1)
+		previous := v.Previous.truncate(n - 1)
 		v.Previous = &previous
 	}
 	return v
 }
 
-// Floor returns the newest version that was named at least bound ago: requests
-// may no longer begin on an older one. It is 0 if there is none.
+// Floor returns the newest version that was named at least bound ago, 0 if there
+// is none. Requests must not begin on an older version.
 func (v Version) Floor(now time.Time, bound time.Duration) uint64 {
 	for named := &v; named != nil; named = named.Previous {
 		if named.Number > 0 && now.Sub(named.AppliedAt) >= bound {
@@ -79,17 +81,17 @@
 	return 0
 }
 
-// NamedAfter returns when the first version after this one was named; zero if
+// NamedAfter returns when the first version after this number was named, zero if
 // there is none.
-func (v Version) NamedAfter(held uint64) time.Time {
+func (v Version) NamedAfter(number uint64) time.Time {
 	var at time.Time
-	for named := &v; named != nil && named.Number > held; named = named.Previous {
+	for named := &v; named != nil && named.Number > number; named = named.Previous {
 		at = named.AppliedAt
 	}
 	return at
 }
 
-// History returns the versions known, the oldest first.
+// History returns v and the versions before it, the oldest first.
 func (v Version) History() []Version {
 	var out []Version
 	for named := &v; named != nil; named = named.Previous {
@@ -117,7 +119,7 @@
 	return l
 }
 
-// State returns the newest state.
+// State returns the current state.
 func (l *Ledger) State() *State { return l.state.Load() }
 
 // Changed returns a channel that is closed at the next change.
@@ -135,8 +137,8 @@
 	l.changed = make(chan struct{})
 }
 
-// Apply executes one committed command. Its result is nil: there is none that
-// the versions do not tell.
+// Apply executes one committed command. Its result is always nil: State shows all
+// effects.
 func (l *Ledger) Apply(index uint64, data []byte) any {
 	var c rpc.FleetCommand
 	if err := proto.Unmarshal(data, &c); err != nil {
@@ -165,13 +167,13 @@
 		changed = true
 	}
 	for _, raw := range c.Held {
-		changed = s.hold(raw) || changed
+		changed = s.addQuarantined(raw) || changed
 	}
-	return s.lift(c.Lifted) || changed
+	return s.release(c.Lifted) || changed
 }
 
-// lift removes work that is no longer held.
-func (s *State) lift(raw []byte) bool {
+// release lifts the quarantine of a content, given by its digest.
+func (s *State) release(raw []byte) bool {
 	if len(raw) != quarantine.DigestSize || !slices.Contains(s.Held, quarantine.Digest(raw)) {
 		return false
 	}
@@ -179,13 +181,13 @@
 	return true
 }
 
-// hold adds work that is to be held back. What is no digest changes nothing.
-func (s *State) hold(raw []byte) bool {
+// addQuarantined adds the digest of a quarantined content. It ignores data that is not a digest.
+func (s *State) addQuarantined(raw []byte) bool {
 	if len(raw) != quarantine.DigestSize || slices.Contains(s.Held, quarantine.Digest(raw)) {
 		return false
 	}
 	held := append(slices.Clone(s.Held), quarantine.Digest(raw))
-	s.Held = held[max(0, len(held)-maxHeld):]
+	s.Held = held[max(0, len(held)-maxQuarantined):]
 	return true
 }
 
@@ -217,7 +219,7 @@
 		next.Versions[v.Model] = Version{Number: v.Version, AppliedAt: l.now()}
 	}
 	for _, raw := range in.Held {
-		next.hold(raw)
+		next.addQuarantined(raw)
 	}
 	l.publish(next)
 	return nil
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -32,7 +32,7 @@
 	assert.EqualValues(t, 7, l.State().ConfigVersion)
 }
 
-func TestSnapshotHoldsAll(t *testing.T) {
+func TestSnapshotRestoresDocumentAndVersions(t *testing.T) {
 	l := New(time.Now)
 	apply(t, l, &rpc.FleetCommand{ConfigVersion: 7, Config: Deflate([]byte("seven"))})
 	apply(t, l, &rpc.FleetCommand{Model: "m", Version: 3})
@@ -52,7 +52,7 @@
 	const bound = 8 * time.Second
 	v := Version{}.Next(2, start).Next(3, start.Add(2*time.Second))
 	assert.EqualValues(t, 0, v.Floor(start.Add(7*time.Second), bound))
-	assert.EqualValues(t, 2, v.Floor(start.Add(8*time.Second), bound), "version 1 is over, 2 is not")
+	assert.EqualValues(t, 2, v.Floor(start.Add(8*time.Second), bound), "version 1 is older than the bound allows, 2 is not")
 	assert.EqualValues(t, 3, v.Floor(start.Add(10*time.Second), bound))
 	assert.Equal(t, start, v.NamedAfter(1))
 	assert.Equal(t, start.Add(2*time.Second), v.NamedAfter(2))
@@ -63,7 +63,7 @@
 	assert.LessOrEqual(t, len(v.History()), keptVersions+1)
 }
 
-func TestHeldWorkIsKeptAndBounded(t *testing.T) {
+func TestQuarantinedContentsAreReplicatedAndBounded(t *testing.T) {
 	l := New(time.Now)
 	digest := func(n int) []byte {
 		d := quarantine.DigestOf("org", "POST", "h", fmt.Sprint(n), nil)
@@ -71,18 +71,18 @@
 	}
 	apply(t, l, &rpc.FleetCommand{Held: [][]byte{digest(1), digest(1), []byte("no digest")}})
 	assert.Len(t, l.State().Held, 1)
-	for i := range maxHeld {
+	for i := range maxQuarantined {
 		apply(t, l, &rpc.FleetCommand{Held: [][]byte{digest(i + 1)}})
 	}
 	apply(t, l, &rpc.FleetCommand{Held: [][]byte{digest(-1)}})
 	held := l.State().Held
-	assert.Len(t, held, maxHeld)
-	assert.Equal(t, quarantine.Digest(digest(-1)), held[maxHeld-1], "the oldest is dropped")
+	assert.Len(t, held, maxQuarantined)
+	assert.Equal(t, quarantine.Digest(digest(-1)), held[maxQuarantined-1], "the oldest is dropped")
 	data, err := l.Snapshot()
 	require.NoError(t, err)
 	other := New(time.Now)
 	require.NoError(t, other.Restore(data))
 	assert.Equal(t, held, other.State().Held)
 	apply(t, l, &rpc.FleetCommand{Lifted: digest(-1)})
-	assert.Equal(t, held[:maxHeld-1], l.State().Held, "an operator let it go")
+	assert.Equal(t, held[:maxQuarantined-1], l.State().Held, "released by an operator")
 }
