--- a/internal/follow/client.go
+++ b/internal/follow/client.go
@@ -1,7 +1,7 @@
-// Package follow keeps a daemon in touch with all control servers: one stream
-// to each, of the committed configuration, the versions of weights and the
-// backend servers. State: one goroutine and one stream by control server; the
-// merged result belongs to a View. Messages: rpc.Fleet Follow.
+// Package follow subscribes a daemon to the control servers: one stream from each,
+// with the committed configuration, the versions of weights and the backend
+// servers. State: one goroutine and one stream by control server; a Viewer merges
+// the updates into a View. Messages: rpc.Fleet Follow.
 package follow
 
 import (
@@ -29,20 +29,21 @@
 const (
 	// KeepAlive is how often a control server sends something on each stream.
 	KeepAlive = 400 * time.Millisecond
-	// silence is after how long without a word a stream is given up: three
-	// keep-alives and the delay of a slow machine. TCP alone would take minutes
-	// to notice a cut.
-	silence = 1500 * time.Millisecond
-	// retryPause is the mean pause after a stream has ended.
-	retryPause = 150 * time.Millisecond
-	// lostPause is for how long a control server that failed is passed over for
-	// the next ones.
-	lostPause = 3 * time.Second
-	// keepUnlisted is for how long a control server that nobody lists is tried.
-	keepUnlisted = 20 * time.Second
+	// silenceTimeout is after how long without a message a stream is closed: three
+	// keep-alives and the delay of a slow machine. TCP alone would take minutes to
+	// detect a network partition.
+	silenceTimeout = 1500 * time.Millisecond
+	// reconnectPause is the mean pause after a stream has ended.
+	reconnectPause = 150 * time.Millisecond
+	// failurePause is for how long other control servers are preferred to one that
+	// failed.
+	failurePause = 3 * time.Second
+	// unlistedTimeout is for how long a control server is still followed after it was
+	// last listed by the settings or by a control server.
+	unlistedTimeout = 20 * time.Second
 )
 
-// Config says who follows.
+// Config is the configuration of a Client.
 type Config struct {
 	// Name, Zone and Role (entry, agent or control) of this daemon.
 	Name string
@@ -51,36 +52,37 @@
 	// Self is the rpc address of this daemon if it is a control server: it does
 	// not follow itself.
 	Self string
-	// Most is how many control servers are followed at once; 0 is all of them. Those
-	// that need no more than what is committed follow a few.
+	// Most is how many control servers are followed at once; 0 is all of them.
+	// Daemons that need only committed state follow a few.
 	Most int
 	// Seeds returns the control servers that the settings name.
 	Seeds func() []string
-	// Held returns the version of the newest configuration that was taken over: other
-	// control servers need not send it. It may be nil.
+	// Held returns the version of the newest configuration that was accepted, so that
+	// other control servers do not send it again. It may be nil.
 	Held func() uint64
-	// Suspicions returns all that is known here of work that was at servers that ended: a
-	// control server that has started again knows nothing of it. It may be nil.
+	// Suspicions returns all suspicions known to this daemon. They are sent at the start
+	// of each stream, since a control server that has restarted has none. It may be nil.
 	Suspicions func() []quarantine.News
-	// Signals returns all that is known here of what backend servers said of themselves, for
-	// the same reason. It may be nil.
+	// Signals returns all signals of backend servers known to this daemon, for the same
+	// reason. It may be nil.
 	Signals func() []backpressure.News
-	// Update takes over what a control server sent; calls for one source are in
-	// order, those for several are concurrent.
+	// Update processes an update of a control server. Calls for one source are in
+	// order, those for several sources are concurrent.
 	Update func(source string, u *rpc.FleetUpdate)
 	// Lost is called when a stream has ended.
 	Lost   func(source string)
 	Logger zerolog.Logger
 }
 
-// Client follows all control servers.
+// Client follows the control servers.
 type Client struct {
 	cfg Config
 
-	mu     sync.Mutex
-	known  map[string]*source
-	closed sync.WaitGroup
-	// turnWaiters wait for a control server's answer, by digest of the work.
+	mu    sync.Mutex
+	known map[string]*source
+	// running counts the goroutines that follow a control server.
+	running sync.WaitGroup
+	// turnWaiters receive a control server's answer, by digest of the request content.
 	turnWaiters map[quarantine.Digest]chan bool
 }
 
@@ -88,44 +90,45 @@
 type source struct {
 	cancel   context.CancelFunc
 	listedAt time.Time
-	// failedAt is when the last stream or try to connect ended.
+	// failedAt is when the last stream ended or the last connection attempt failed.
 	failedAt time.Time
-	// stream is nil while the control server is not reached.
+	// stream is nil while there is no open stream.
 	stream rpc.DRPCFleet_FollowClient
 }
 
-// Tell sends an agent's report: to all control servers that are reached, or to
-// one of them if the report changes nothing that they spread.
+// Tell sends an agent's report on all open streams if all is set, else on one of
+// them. One is enough for a report that changes nothing that control servers forward.
 func (c *Client) Tell(r *rpc.AgentReport, all bool) {
 	for _, stream := range c.streams() {
-		// A stream that fails is opened again by its own goroutine, and the next
-		// report is whole.
+		// The goroutine of a failed stream reconnects, and each report is complete
+		// in itself.
 		if err := stream.Send(&rpc.FollowerMessage{Report: r}); err == nil && !all {
 			return
 		}
 	}
 }
 
-func (c *Client) held() uint64 {
+func (c *Client) configVersion() uint64 {
 	if c.cfg.Held == nil {
 		return 0
 	}
 	return c.cfg.Held()
 }
 
-// tellHeld tells the other control servers which configuration is held: each of them
-// would send the same one, and a document is most of what they send.
-func (c *Client) tellHeld(except rpc.DRPCFleet_FollowClient) {
-	held := c.held()
+// sendConfigVersion sends the version of the accepted configuration to the other control
+// servers. Each of them would send the same document otherwise, and documents are most
+// of what they send.
+func (c *Client) sendConfigVersion(except rpc.DRPCFleet_FollowClient) {
+	version := c.configVersion()
 	for _, stream := range c.streams() {
 		if stream != except {
-			// A stream that fails is opened again by its own goroutine.
-			_ = stream.Send(&rpc.FollowerMessage{ConfigVersion: held})
+			// The goroutine of a failed stream reconnects.
+			_ = stream.Send(&rpc.FollowerMessage{ConfigVersion: version})
 		}
 	}
 }
 
-// streams are the open streams, in the order of the addresses.
+// streams returns the open streams in the order of the addresses.
 func (c *Client) streams() []rpc.DRPCFleet_FollowClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,24 +162,24 @@
 	return &Client{cfg: cfg, known: map[string]*source{}, turnWaiters: map[quarantine.Digest]chan bool{}}
 }
 
-// Run follows until ctx is done.
+// Run follows the control servers until ctx is done.
 func (c *Client) Run(ctx context.Context) error {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
-		c.list(ctx, c.cfg.Seeds())
+		c.addListed(ctx, c.cfg.Seeds())
 		c.dropUnlisted()
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			c.closed.Wait()
+			c.running.Wait()
 			return ctx.Err()
 		}
 	}
 }
 
-// list follows these control servers, too.
-func (c *Client) list(ctx context.Context, addrs []string) {
+// addListed starts to follow the control servers in this list that are not known yet.
+func (c *Client) addListed(ctx context.Context, addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Now()
@@ -190,9 +193,9 @@
 		}
 		sourceCtx, cancel := context.WithCancel(ctx)
 		c.known[addr] = &source{cancel: cancel, listedAt: now}
-		c.closed.Add(1)
+		c.running.Add(1)
 		go func() {
-			defer c.closed.Done()
+			defer c.running.Done()
 			c.follow(sourceCtx, ctx, addr)
 		}()
 	}
@@ -202,21 +205,22 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for addr, s := range c.known {
-		if clock.Since(s.listedAt) > keepUnlisted {
+		if clock.Since(s.listedAt) > unlistedTimeout {
 			s.cancel()
 			delete(c.known, addr)
 		}
 	}
 }
 
-// follow keeps a stream to one control server.
+// follow keeps a stream open to one control server until ctx is done. run is the
+// context of Run.
 func (c *Client) follow(ctx, run context.Context, addr string) {
 	lost := false
 	failed := 0
 	for ctx.Err() == nil {
 		if !c.mayFollow(addr) {
 			select {
-			case <-time.After(retryPause):
+			case <-time.After(reconnectPause):
 				continue
 			case <-ctx.Done():
 				return
@@ -238,7 +242,7 @@
 			lost = true
 			c.cfg.Logger.Warn().Str("control", addr).Err(err).Int("updates", received).Msg("control server lost")
 		}
-		pause := retryPause/2 + rand.N(retryPause)
+		pause := reconnectPause/2 + rand.N(reconnectPause)
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
@@ -246,9 +250,9 @@
 	}
 }
 
-// mayFollow tells whether a control server is among the Most that come first for
-// this daemon, by the highest random weight, of those that are reached or not
-// known to be lost.
+// mayFollow reports whether a control server is among the Most that rank first for
+// this daemon by rendezvous hashing, of those with an open stream and those that have
+// not failed within failurePause.
 func (c *Client) mayFollow(addr string) bool {
 	if c.cfg.Most <= 0 {
 		return true
@@ -258,7 +262,7 @@
 	before := 0
 	own := c.weight(addr)
 	for other, s := range c.known {
-		usable := s.stream != nil || clock.Since(s.failedAt) > lostPause
+		usable := s.stream != nil || clock.Since(s.failedAt) > failurePause
 		if other != addr && usable && c.weight(other) > own {
 			before++
 		}
@@ -270,19 +274,20 @@
 	return rendezvous.Weight(rendezvous.Hash(c.cfg.Name), rendezvous.Hash(addr))
 }
 
-// stream takes updates until the stream fails or falls silent.
+// stream connects to a control server and processes its updates until the stream fails
+// or nothing is received for silenceTimeout.
 func (c *Client) stream(ctx, run context.Context, addr string, dialTimeout time.Duration) (received int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	dialCtx, dialled := context.WithTimeout(ctx, dialTimeout)
+	dialCtx, cancelDial := context.WithTimeout(ctx, dialTimeout)
 	conn, err := rpcconn.Dial(dialCtx, addr)
-	dialled()
+	cancelDial()
 	if err != nil {
 		return 0, err
 	}
 	defer conn.Close()
-	// Closing the connection ends a stream whose peer no longer answers.
-	watchdog := time.AfterFunc(silence, func() { _ = conn.Close() })
+	// Closing the connection ends a stream whose peer no longer responds.
+	watchdog := time.AfterFunc(silenceTimeout, func() { _ = conn.Close() })
 	defer watchdog.Stop()
 	stream, err := rpc.NewDRPCFleetClient(conn).Follow(ctx)
 	if err != nil {
@@ -291,42 +296,43 @@
 	if err := stream.Send(&rpc.FollowerMessage{Name: c.cfg.Name, Zone: c.cfg.Zone, Role: c.cfg.Role}); err != nil {
 		return 0, fmt.Errorf("follow %s: %w", addr, err)
 	}
-	if err := c.tellKnown(stream); err != nil {
+	if err := c.sendKnown(stream); err != nil {
 		return 0, fmt.Errorf("follow %s: %w", addr, err)
 	}
 	c.setStream(addr, stream)
 	defer c.setStream(addr, nil)
-	var lists []string // what this control server listed last: it says so once
+	var listed []string // the control servers last listed by this one; it sends the list only when it changes
 	for {
 		u, err := stream.Recv()
 		if err != nil {
 			return received, streamError(addr, err)
 		}
-		watchdog.Reset(silence)
+		watchdog.Reset(silenceTimeout)
 		if len(u.ControlAddrs) > 0 {
-			lists = u.ControlAddrs
+			listed = u.ControlAddrs
 		}
-		c.list(run, lists)
+		c.addListed(run, listed)
 		if u.Number == 0 {
 			continue
 		}
 		if received == 0 {
-			c.cfg.Logger.Info().Str("control", addr).Msg("control server reached")
+			c.cfg.Logger.Info().Str("control", addr).Msg("following control server")
 		}
 		received++
-		c.answerTurns(u.Turns)
+		c.deliverTurns(u.Turns)
 		c.cfg.Update(addr, u)
 		if u.ConfigVersion > 0 {
-			c.tellHeld(stream)
+			c.sendConfigVersion(stream)
 		}
-		if err := stream.Send(&rpc.FollowerMessage{Acknowledged: u.Number, ConfigVersion: c.held()}); err != nil {
+		if err := stream.Send(&rpc.FollowerMessage{Acknowledged: u.Number, ConfigVersion: c.configVersion()}); err != nil {
 			return received, streamError(addr, err)
 		}
 	}
 }
 
-// tellKnown tells a control server what it does not know if it has just started.
-func (c *Client) tellKnown(stream rpc.DRPCFleet_FollowClient) error {
+// sendKnown sends all known suspicions and signals, which a control server that has just
+// started does not have.
+func (c *Client) sendKnown(stream rpc.DRPCFleet_FollowClient) error {
 	now := clock.Now()
 	m := &rpc.FollowerMessage{}
 	if c.cfg.Suspicions != nil {
@@ -349,7 +355,7 @@
 
 func streamError(addr string, err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, drpc.ClosedError.New("")) {
-		return fmt.Errorf("stream of %s ended", addr)
+		return fmt.Errorf("stream from %s ended", addr)
 	}
-	return fmt.Errorf("stream of %s: %w", addr, err)
+	return fmt.Errorf("stream from %s: %w", addr, err)
 }
--- a/internal/follow/signals.go
+++ b/internal/follow/signals.go
@@ -9,7 +9,7 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// SignalsToProto returns the wire form of news as of now.
+// SignalsToProto returns the wire form of signals; their ages are as of now.
 func SignalsToProto(news []backpressure.News, now time.Time) []*rpc.ServerSignal {
 	out := make([]*rpc.ServerSignal, 0, len(news))
 	for _, n := range news {
@@ -18,10 +18,10 @@
 	return out
 }
 
-// SignalsFromProto is the inverse of SignalsToProto; what can't be read is left out.
-func SignalsFromProto(told []*rpc.ServerSignal, now time.Time) []backpressure.News {
-	out := make([]backpressure.News, 0, len(told))
-	for _, s := range told {
+// SignalsFromProto is the inverse of SignalsToProto; it skips invalid signals.
+func SignalsFromProto(signals []*rpc.ServerSignal, now time.Time) []backpressure.News {
+	out := make([]backpressure.News, 0, len(signals))
+	for _, s := range signals {
 		if s.AgeMs < 0 || s.Limited && (!(s.Rate >= 0) || math.IsInf(s.Rate, 0)) {
 			continue
 		}
@@ -30,11 +30,11 @@
 	return out
 }
 
-// TellSignals sends news to all control servers that are reached.
+// TellSignals sends signals on all open streams.
 func (c *Client) TellSignals(news []backpressure.News) {
-	told := SignalsToProto(news, clock.Now())
+	signals := SignalsToProto(news, clock.Now())
 	for _, stream := range c.streams() {
-		// A stream that fails is opened again by its own goroutine, and then told all.
-		_ = stream.Send(&rpc.FollowerMessage{Signals: told})
+		// The goroutine of a failed stream reconnects and sends all known signals.
+		_ = stream.Send(&rpc.FollowerMessage{Signals: signals})
 	}
 }
--- a/internal/follow/suspicions.go
+++ b/internal/follow/suspicions.go
@@ -8,7 +8,7 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// SuspicionsToProto returns the wire form of facts as of now.
+// SuspicionsToProto returns the wire form of suspicions; their ages are as of now.
 func SuspicionsToProto(news []quarantine.News, now time.Time) []*rpc.Suspicion {
 	out := make([]*rpc.Suspicion, 0, len(news))
 	for _, n := range news {
@@ -19,11 +19,10 @@
 	return out
 }
 
-// SuspicionsFromProto is the inverse of SuspicionsToProto; facts that can't be read are left
-// out.
-func SuspicionsFromProto(told []*rpc.Suspicion, now time.Time) []quarantine.News {
-	out := make([]quarantine.News, 0, len(told))
-	for _, s := range told {
+// SuspicionsFromProto is the inverse of SuspicionsToProto; it skips invalid suspicions.
+func SuspicionsFromProto(suspicions []*rpc.Suspicion, now time.Time) []quarantine.News {
+	out := make([]quarantine.News, 0, len(suspicions))
+	for _, s := range suspicions {
 		if len(s.Digest) != quarantine.DigestSize || s.AgeMs < 0 {
 			continue
 		}
@@ -35,11 +34,11 @@
 	return out
 }
 
-// TellSuspicions sends facts to all control servers that are reached.
+// TellSuspicions sends suspicions on all open streams.
 func (c *Client) TellSuspicions(news []quarantine.News) {
-	told := SuspicionsToProto(news, clock.Now())
+	suspicions := SuspicionsToProto(news, clock.Now())
 	for _, stream := range c.streams() {
-		// A stream that fails is opened again by its own goroutine, and then told all.
-		_ = stream.Send(&rpc.FollowerMessage{Suspicions: told})
+		// The goroutine of a failed stream reconnects and sends all known suspicions.
+		_ = stream.Send(&rpc.FollowerMessage{Suspicions: suspicions})
 	}
 }
--- a/internal/follow/turns.go
+++ b/internal/follow/turns.go
@@ -11,14 +11,17 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// turnAnswer bounds the wait for a control server's word on a turn: some round trips between
-// regions. An entry without an answer goes on: what it would prevent is one more server that ends.
-const turnAnswer = 150 * time.Millisecond
+// turnTimeout bounds the wait for a control server's answer to a request for a turn: some
+// round trips between regions. Without an answer the entry dispatches the request, at the risk
+// of one more crash of a backend server.
+const turnTimeout = 150 * time.Millisecond
 
-// AskTurn asks for the turn of suspect work, which one entry has at a time. All entries that
-// reach the same control servers ask the same one. One call at a time may ask for a digest.
+// AskTurn requests the turn of a suspect request content, the right to dispatch it, which one
+// entry has at a time. It reports whether the entry may dispatch the request. Entries that are
+// connected to the same control servers ask the same one of them. Calls for one digest must
+// not be concurrent.
 func (c *Client) AskTurn(ctx context.Context, d quarantine.Digest) bool {
-	stream := c.turnKeeper(d)
+	stream := c.turnArbiter(d)
 	if stream == nil {
 		return true
 	}
@@ -26,42 +29,44 @@
 	c.setTurnWaiter(d, answer)
 	defer c.setTurnWaiter(d, nil)
 	if err := stream.Send(&rpc.FollowerMessage{TurnWanted: d[:]}); err != nil {
-		return true // as without an answer
+		return true // like a missing answer
 	}
 	select {
 	case given := <-answer:
 		return given
-	case <-time.After(turnAnswer):
+	case <-time.After(turnTimeout):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// EndTurn gives a turn back. If it is not told, the control server takes it back after a while.
+// EndTurn releases a turn. If the message is lost, the turn expires at the control server.
 func (c *Client) EndTurn(d quarantine.Digest) {
-	if stream := c.turnKeeper(d); stream != nil {
+	if stream := c.turnArbiter(d); stream != nil {
 		_ = stream.Send(&rpc.FollowerMessage{TurnEnded: d[:]})
 	}
 }
 
-// turnKeeper is the control server that comes first for this work, nil if none is reached.
-func (c *Client) turnKeeper(d quarantine.Digest) rpc.DRPCFleet_FollowClient {
+// turnArbiter returns the stream to the control server that grants the turns of this content:
+// of those with an open stream the one that ranks first by rendezvous hashing, nil if there is
+// none.
+func (c *Client) turnArbiter(d quarantine.Digest) rpc.DRPCFleet_FollowClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var keeper rpc.DRPCFleet_FollowClient
+	var arbiter rpc.DRPCFleet_FollowClient
 	var most uint64
-	work := rendezvous.Hash(string(d[:]))
+	content := rendezvous.Hash(string(d[:]))
 	for _, addr := range slices.Sorted(maps.Keys(c.known)) {
 		stream := c.known[addr].stream
 		if stream == nil {
 			continue
 		}
-		if weight := rendezvous.Weight(work, rendezvous.Hash(addr)); keeper == nil || weight > most {
-			keeper, most = stream, weight
+		if weight := rendezvous.Weight(content, rendezvous.Hash(addr)); arbiter == nil || weight > most {
+			arbiter, most = stream, weight
 		}
 	}
-	return keeper
+	return arbiter
 }
 
 func (c *Client) setTurnWaiter(d quarantine.Digest, answer chan bool) {
@@ -74,8 +79,8 @@
 	c.turnWaiters[d] = answer
 }
 
-// answerTurns hands a control server's answers to those that wait for them.
-func (c *Client) answerTurns(turns []*rpc.Turn) {
+// deliverTurns delivers a control server's answers to the waiting calls of AskTurn.
+func (c *Client) deliverTurns(turns []*rpc.Turn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, turn := range turns {
@@ -85,7 +90,7 @@
 		if waiter := c.turnWaiters[quarantine.Digest(turn.Digest)]; waiter != nil {
 			select {
 			case waiter <- turn.Given:
-			default: // it has one already
+			default: // it already has an answer
 			}
 		}
 	}
--- a/internal/follow/turns_test.go
+++ b/internal/follow/turns_test.go
@@ -17,12 +17,12 @@
 	"lynxgate.dev/lynxgate/internal/rpcconn"
 )
 
-// fakeControl is a control server that hands on what followers say, and answers turns by
-// its script.
+// fakeControl is a control server that passes the messages of followers to the test and
+// answers requests for turns with turn.
 type fakeControl struct {
 	rpc.DRPCFleetUnimplementedServer
-	said chan *rpc.FollowerMessage
-	turn func(*rpc.FollowerMessage) *rpc.FleetUpdate
+	messages chan *rpc.FollowerMessage
+	turn     func(*rpc.FollowerMessage) *rpc.FleetUpdate
 }
 
 func (f *fakeControl) Follow(stream rpc.DRPCFleet_FollowStream) error {
@@ -34,7 +34,7 @@
 		if err != nil {
 			return err
 		}
-		f.said <- m
+		f.messages <- m
 		if len(m.TurnWanted) == 0 || f.turn == nil {
 			continue
 		}
@@ -46,25 +46,25 @@
 	}
 }
 
-// next returns the next message that this accepts.
+// next returns the next message for which accepts returns true.
 func (f *fakeControl) next(t *testing.T, accepts func(*rpc.FollowerMessage) bool) *rpc.FollowerMessage {
 	t.Helper()
 	for limit := time.After(10 * time.Second); ; {
 		select {
-		case m := <-f.said:
+		case m := <-f.messages:
 			if accepts(m) {
 				return m
 			}
 		case <-limit:
-			require.Fail(t, "nothing was said in time")
+			require.Fail(t, "no such message within 10 s")
 		}
 	}
 }
 
-// follower starts a client of one control server and waits until it is reached.
+// follower starts a client of this control server and waits for its first update.
 func (f *fakeControl) follower(t *testing.T, known []quarantine.News) *Client {
 	t.Helper()
-	f.said = make(chan *rpc.FollowerMessage, 100)
+	f.messages = make(chan *rpc.FollowerMessage, 100)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	mux := drpcmux.New()
@@ -72,24 +72,24 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go func() { _ = rpcconn.Serve(ctx, lis, mux) }() // ends with the test
-	reached := make(chan struct{}, 1)
+	updated := make(chan struct{}, 1)
 	c := New(Config{
 		Name: "entry", Role: "entry", Seeds: func() []string { return []string{lis.Addr().String()} },
 		Suspicions: func() []quarantine.News { return known },
 		Update: func(string, *rpc.FleetUpdate) {
 			select {
-			case reached <- struct{}{}:
+			case updated <- struct{}{}:
 			default:
 			}
 		},
 		Lost: func(string) {}, Logger: zerolog.Nop(),
 	})
 	go func() { _ = c.Run(ctx) }()
-	<-reached
+	<-updated
 	return c
 }
 
-var someWork = quarantine.DigestOf("org", "POST", "h", "/x", nil)
+var suspectContent = quarantine.DigestOf("org", "POST", "h", "/x", nil)
 
 func answerTurn(given bool) func(*rpc.FollowerMessage) *rpc.FleetUpdate {
 	return func(m *rpc.FollowerMessage) *rpc.FleetUpdate {
@@ -97,57 +97,57 @@
 	}
 }
 
-func TestTurnIsGivenByTheControlServer(t *testing.T) {
+func TestControlServerGrantsOrDeniesTurn(t *testing.T) {
 	for _, given := range []bool{true, false} {
 		f := &fakeControl{turn: answerTurn(given)}
 		c := f.follower(t, nil)
-		assert.Equal(t, given, c.AskTurn(t.Context(), someWork))
-		c.EndTurn(someWork)
+		assert.Equal(t, given, c.AskTurn(t.Context(), suspectContent))
+		c.EndTurn(suspectContent)
 		m := f.next(t, func(m *rpc.FollowerMessage) bool { return len(m.TurnEnded) > 0 })
-		assert.Equal(t, someWork[:], m.TurnEnded)
+		assert.Equal(t, suspectContent[:], m.TurnEnded)
 	}
 }
 
-// TestEntryWithoutAnAnswerGoesOn: a control server that is frozen, or none that is reached,
-// stops no request.
-func TestEntryWithoutAnAnswerGoesOn(t *testing.T) {
+// A control server that does not answer, or the lack of any open stream, must not block
+// requests.
+func TestEntryDispatchesWithoutAnswer(t *testing.T) {
 	c := (&fakeControl{}).follower(t, nil)
-	assert.True(t, c.AskTurn(t.Context(), someWork))
-	assert.True(t, New(Config{}).AskTurn(t.Context(), someWork))
+	assert.True(t, c.AskTurn(t.Context(), suspectContent))
+	assert.True(t, New(Config{}).AskTurn(t.Context(), suspectContent))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.False(t, c.AskTurn(ctx, someWork), "its caller is gone")
+	assert.False(t, c.AskTurn(ctx, suspectContent), "the caller has left")
 }
 
-// TestControlServerIsToldWhatTheEntryKnows: it may have started again and forgotten all.
-func TestControlServerIsToldWhatTheEntryKnows(t *testing.T) {
+// A control server that has restarted has lost all suspicions and gets them from entries.
+func TestKnownSuspicionsAreSentOnConnect(t *testing.T) {
 	f := &fakeControl{}
-	known := []quarantine.News{{Digest: someWork, Server: "s-1", At: clock.Now().Add(-3 * time.Second)}}
+	known := []quarantine.News{{Digest: suspectContent, Server: "s-1", At: clock.Now().Add(-3 * time.Second)}}
 	c := f.follower(t, known)
 	has := func(m *rpc.FollowerMessage) bool { return len(m.Suspicions) > 0 }
 	m := f.next(t, has)
 	assert.Equal(t, "s-1", m.Suspicions[0].Server)
 	assert.InDelta(t, 3000, m.Suspicions[0].AgeMs, 1000)
-	c.TellSuspicions([]quarantine.News{{Digest: someWork, Server: "s-2", At: clock.Now()}})
+	c.TellSuspicions([]quarantine.News{{Digest: suspectContent, Server: "s-2", At: clock.Now()}})
 	assert.Equal(t, "s-2", f.next(t, has).Suspicions[0].Server)
 }
 
-func TestFactsThatCannotBeReadAreLeftOut(t *testing.T) {
+func TestInvalidSuspicionsAreSkipped(t *testing.T) {
 	now := time.Now()
 	news := SuspicionsFromProto([]*rpc.Suspicion{
-		{Digest: []byte("short"), Server: "s-1"}, {Digest: someWork[:], Server: "s-2", AgeMs: -5},
-		{Digest: someWork[:], Server: "s-3", Cleared: true, AgeMs: 500},
+		{Digest: []byte("short"), Server: "s-1"}, {Digest: suspectContent[:], Server: "s-2", AgeMs: -5},
+		{Digest: suspectContent[:], Server: "s-3", Cleared: true, AgeMs: 500},
 	}, now)
-	assert.Equal(t, []quarantine.News{{Digest: someWork, Server: "s-3", Cleared: true, At: now.Add(-500 * time.Millisecond)}}, news)
+	assert.Equal(t, []quarantine.News{{Digest: suspectContent, Server: "s-3", Cleared: true, At: now.Add(-500 * time.Millisecond)}}, news)
 }
 
-// TestFactsKeepWhatTheyTell: how a copy was sent decides by how much its end counts.
-func TestFactsKeepWhatTheyTell(t *testing.T) {
+// Alone decides the weight of a crash, so it must survive the transfer.
+func TestSuspicionsRoundTrip(t *testing.T) {
 	now := time.Now()
 	news := []quarantine.News{
-		{Digest: someWork, Server: "s-1", Alone: true, At: now.Add(-2 * time.Second)},
-		{Digest: someWork, Server: "s-2", Cleared: true, At: now.Add(-time.Second)},
-		{Digest: someWork, At: now},
+		{Digest: suspectContent, Server: "s-1", Alone: true, At: now.Add(-2 * time.Second)},
+		{Digest: suspectContent, Server: "s-2", Cleared: true, At: now.Add(-time.Second)},
+		{Digest: suspectContent, At: now},
 	}
 	assert.Equal(t, news, SuspicionsFromProto(SuspicionsToProto(news, now), now))
 }
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -18,37 +18,37 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// View is what all control servers together have told; it is immutable.
+// View is the merged state received from all control servers; it is immutable.
 type View struct {
 	// Table is nil while no configuration is known.
 	Table    *fleet.Table
 	Versions map[string]ledger.Version
-	// Servers holds the backend servers by service, those that left among them.
+	// Servers holds the backend servers by service, including those that have left.
 	Servers map[string][]*fleet.BackendServer
-	// Entries are those that any control server knows of, by name.
+	// Entries are those connected to any of the control servers, in the order of names.
 	Entries []Entry
 }
 
 // Entry is one entry of the fleet.
 type Entry struct{ Name, Zone string }
 
-// EntryCount is how many entries share what is bounded for all together, at least 1.
+// EntryCount is how many entries share the limits that apply to all together, at least 1.
 func (v *View) EntryCount() int { return max(len(v.Entries), 1) }
 
 // Viewer merges updates into views. Within one process a configuration is
-// never followed by an older one.
+// never replaced by an older one.
 type Viewer struct {
 	decode func(document []byte) (*fleet.Config, error)
 	log    zerolog.Logger
-	// Changed is called after each new view.
+	// changed is called after each new view.
 	changed func(*View)
 
-	// Suspected is called with news of work that was at servers that ended; it may be nil.
+	// Suspected is called with the suspicions of an update; it may be nil.
 	Suspected func(news []quarantine.News)
-	// Signalled is called with news of what backend servers signal of themselves; it may be nil.
+	// Signalled is called with the signals of backend servers in an update; it may be nil.
 	Signalled func(news []backpressure.News)
-	// Reported is called with each new report of an agent, Renewed when a server
-	// was heard without a change; both may be nil.
+	// Reported is called with each new report of an agent, Renewed when a server has
+	// announced itself without a change; both may be nil.
 	Reported func(r *rpc.AgentReport)
 	Renewed  func(id string, at time.Time)
 
@@ -56,17 +56,18 @@
 
 	mu      sync.Mutex
 	servers *directory.Directory
-	// entries are those that each control server knows of.
+	// entries are those connected to each control server.
 	entries map[string][]Entry
-	reports map[string]*rpc.AgentReport
-	forget  time.Time
+	// reports are the newest reports of agents, by address of the backend server.
+	reports    map[string]*rpc.AgentReport
+	nextForget time.Time
 }
 
-// forgetInterval is how often servers that were not heard for long are dropped.
+// forgetInterval is how often servers that have been silent for long are dropped.
 const forgetInterval = 5 * time.Second
 
 // NewViewer returns a viewer of servers that announce themselves at this interval, 0
-// if it isn't known. decode reads the operators' document; changed may be nil.
+// if it is not known. decode decodes the operators' document; changed may be nil.
 func NewViewer(decode func([]byte) (*fleet.Config, error), changed func(*View), interval time.Duration, log zerolog.Logger) *Viewer {
 	v := &Viewer{decode: decode, changed: changed, log: log, servers: directory.New(interval), entries: map[string][]Entry{}, reports: map[string]*rpc.AgentReport{}}
 	v.view.Store(&View{})
@@ -84,25 +85,25 @@
 	return 0
 }
 
-// Update takes one update over.
+// Update merges an update of a control server.
 func (v *Viewer) Update(source string, u *rpc.FleetUpdate) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	next := *v.view.Load()
-	changed := v.takeConfig(&next, source, u)
-	changed = v.takeVersions(&next, u) || changed
-	if v.takeServers(u) {
+	changed := v.mergeConfig(&next, source, u)
+	changed = v.mergeVersions(&next, u) || changed
+	if v.mergeServers(u) {
 		next.Servers = v.byService()
 		changed = true
 	}
-	changed = v.takeEntries(&next, source, u) || changed
+	changed = v.mergeEntries(&next, source, u) || changed
 	if changed {
 		v.view.Store(&next)
 	}
 	if changed && v.changed != nil {
 		v.changed(&next)
 	}
-	v.takeReports(u)
+	v.mergeReports(u)
 	if len(u.Suspicions) > 0 && v.Suspected != nil {
 		v.Suspected(SuspicionsFromProto(u.Suspicions, clock.Now()))
 	}
@@ -111,8 +112,8 @@
 	}
 }
 
-// takeReports hands the reports on that are newer than the ones known.
-func (v *Viewer) takeReports(u *rpc.FleetUpdate) {
+// mergeReports calls Reported for the reports that are newer than the known ones.
+func (v *Viewer) mergeReports(u *rpc.FleetUpdate) {
 	for _, r := range u.Reports {
 		known := v.reports[r.Addr]
 		if known != nil && known.Epoch == r.Epoch && known.Seq >= r.Seq {
@@ -125,22 +126,23 @@
 	}
 }
 
-// Lost forgets what only a living control server can tell.
+// Lost removes the entries listed by a control server whose stream has ended: they may
+// no longer be connected to it.
 func (v *Viewer) Lost(source string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.entries, source)
 }
 
-func (v *Viewer) takeEntries(next *View, source string, u *rpc.FleetUpdate) bool {
+func (v *Viewer) mergeEntries(next *View, source string, u *rpc.FleetUpdate) bool {
 	if u.Entries == nil {
 		return false
 	}
-	told := make([]Entry, 0, len(u.Entries.Entries))
+	listed := make([]Entry, 0, len(u.Entries.Entries))
 	for _, e := range u.Entries.Entries {
-		told = append(told, Entry{Name: e.Name, Zone: e.Zone})
+		listed = append(listed, Entry{Name: e.Name, Zone: e.Zone})
 	}
-	v.entries[source] = told
+	v.entries[source] = listed
 	all := v.allEntries()
 	if slices.Equal(all, next.Entries) {
 		return false
@@ -149,28 +151,28 @@
 	return true
 }
 
-// allEntries are those that any control server knows of, in the order of names.
+// allEntries returns the entries connected to any control server, in the order of names.
 func (v *Viewer) allEntries() []Entry {
 	var all []Entry
-	for _, told := range v.entries {
-		all = append(all, told...)
+	for _, listed := range v.entries {
+		all = append(all, listed...)
 	}
 	slices.SortFunc(all, func(a, b Entry) int { return cmp.Compare(a.Name, b.Name) })
 	return slices.CompactFunc(all, func(a, b Entry) bool { return a.Name == b.Name })
 }
 
-func (v *Viewer) takeConfig(next *View, source string, u *rpc.FleetUpdate) bool {
+func (v *Viewer) mergeConfig(next *View, source string, u *rpc.FleetUpdate) bool {
 	if u.ConfigVersion == 0 || (next.Table != nil && u.ConfigVersion <= next.Table.Config.Version) {
 		return false
 	}
 	document, err := ledger.Inflate(u.Config)
 	if err != nil {
-		v.log.Error().Err(err).Str("control", source).Uint64("version", u.ConfigVersion).Msg("configuration not taken over")
+		v.log.Error().Err(err).Str("control", source).Uint64("version", u.ConfigVersion).Msg("received configuration cannot be decompressed")
 		return false
 	}
 	config, err := v.decode(document)
 	if err != nil {
-		v.log.Error().Err(err).Str("control", source).Uint64("version", u.ConfigVersion).Msg("configuration not taken over")
+		v.log.Error().Err(err).Str("control", source).Uint64("version", u.ConfigVersion).Msg("received configuration cannot be decoded")
 		return false
 	}
 	next.Table = fleet.NewTable(config)
@@ -179,7 +181,7 @@
 	return true
 }
 
-func (v *Viewer) takeVersions(next *View, u *rpc.FleetUpdate) bool {
+func (v *Viewer) mergeVersions(next *View, u *rpc.FleetUpdate) bool {
 	changed := false
 	for _, m := range u.Versions {
 		if m.Version <= next.Versions[m.Model].Number {
@@ -198,7 +200,7 @@
 	return changed
 }
 
-func (v *Viewer) takeServers(u *rpc.FleetUpdate) bool {
+func (v *Viewer) mergeServers(u *rpc.FleetUpdate) bool {
 	changed := false
 	now := clock.Now()
 	for _, s := range u.Servers {
@@ -214,8 +216,8 @@
 			v.Renewed(s.Id, now)
 		}
 	}
-	if now.After(v.forget) {
-		v.forget = now.Add(forgetInterval)
+	if now.After(v.nextForget) {
+		v.nextForget = now.Add(forgetInterval)
 		v.servers.Forget(now)
 	}
 	return changed
--- a/internal/follow/wire.go
+++ b/internal/follow/wire.go
@@ -8,7 +8,7 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// ServerToProto returns the wire form of a record as of now.
+// ServerToProto returns the wire form of a record; its age is as of now.
 func ServerToProto(b *fleet.BackendServer, now time.Time) *rpc.BackendServer {
 	out := &rpc.BackendServer{
 		Id: b.ID, Service: b.Service, Addr: b.Addr, Zone: b.Zone, Slots: uint32(b.Slots),
@@ -30,7 +30,7 @@
 	return b
 }
 
-// ModelsToProto returns the wire form of what an engine holds.
+// ModelsToProto returns the wire form of the models that an engine has loaded.
 func ModelsToProto(models []fleet.Loaded) []*rpc.LoadedModel {
 	var out []*rpc.LoadedModel
 	for _, m := range models {
@@ -52,7 +52,7 @@
 	return out
 }
 
-// SameModels tells whether two engines hold the same.
+// SameModels reports whether two engines have loaded the same models.
 func SameModels(a, b []*rpc.LoadedModel) bool {
 	return slices.Equal(ModelsFromProto(a), ModelsFromProto(b))
 }
