--- a/internal/fleetcontrol/follower.go
+++ b/internal/fleetcontrol/follower.go
@@ -15,25 +15,27 @@
 )
 
 // agentConfigInterval is the least time between two configurations sent to an
-// agent: changes in quick succession would fill a narrow link, on which weights have their time bound, too.
+// agent: changes in quick succession would fill a narrow link, which the transfer of
+// weights needs to meet its time bound.
 const agentConfigInterval = 2 * time.Second
 
 // follower is one stream. Its fields are guarded by the hub's lock.
 type follower struct {
 	name, role, zone string
 	wake             chan struct{}
-	// changed and renewed hold the ids whose record is to be sent.
+	// changed holds the ids whose record is to be sent, renewed those of which only
+	// the sequence number is to be sent.
 	changed, renewed map[string]bool
 	// reports holds the addresses whose report is to be sent.
 	reports map[string]bool
-	// suspicions are the facts that are to be sent.
+	// suspicions are to be sent.
 	suspicions []quarantine.News
-	// signals are what backend servers have said that is to be sent.
+	// signals of backend servers are to be sent.
 	signals []backpressure.News
-	// turns are the answers that are to be sent.
+	// turns are answers to be sent.
 	turns []*rpc.Turn
-	// configVersion is the newest configuration that it was sent or holds,
-	// configAt when that changed last.
+	// configVersion is the newest configuration that the follower was sent or has
+	// accepted, configAt when it last changed.
 	configVersion uint64
 	configAt      time.Time
 	versions      map[string]uint64
@@ -43,12 +45,13 @@
 	waiters       []*waiter
 }
 
-// waiter waits until followers have acknowledged that a server leaves.
+// waiter is the wait for one follower to acknowledge that a server leaves.
 type waiter struct {
 	id string
-	// number is of the update that tells the follower; 0 until it is made.
+	// number is that of the update with the leaving server; 0 until it is built.
 	number uint64
-	left   *sync.WaitGroup
+	// pending counts the followers that have not acknowledged yet.
+	pending *sync.WaitGroup
 }
 
 func (f *follower) notify() {
@@ -73,21 +76,21 @@
 				return
 			}
 			if m.Report != nil {
-				h.report(m.Report)
+				h.mergeReport(m.Report)
 				continue
 			}
-			if h.turnMessage(f, m) {
+			if h.handleTurnMessage(f, m) {
 				continue
 			}
 			if len(m.Suspicions) > 0 {
-				h.suspected(follow.SuspicionsFromProto(m.Suspicions, clock.Now()))
+				h.mergeSuspicions(follow.SuspicionsFromProto(m.Suspicions, clock.Now()))
 				continue
 			}
 			if len(m.Signals) > 0 {
-				h.signalled(follow.SignalsFromProto(m.Signals, clock.Now()))
+				h.mergeSignals(follow.SignalsFromProto(m.Signals, clock.Now()))
 				continue
 			}
-			h.acknowledged(f, m)
+			h.acknowledge(f, m)
 		}
 	}()
 	keepAlive := time.NewTicker(follow.KeepAlive)
@@ -133,7 +136,7 @@
 	}
 	h.followers[f] = true
 	for other := range h.followers {
-		other.notify() // the entries may have changed
+		other.notify() // the list of entries may have changed
 	}
 	h.log.Info().Str("follower", f.name).Str("role", f.role).Msg("follower joined")
 	return f
@@ -143,15 +146,15 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.followers, f)
-	h.turns.leave(f)
+	h.turns.releaseAll(f)
 	for _, w := range f.waiters {
-		w.left.Done()
+		w.pending.Done()
 	}
 	f.waiters = nil
 	h.log.Info().Str("follower", f.name).Str("role", f.role).Msg("follower left")
 }
 
-func (h *hub) acknowledged(f *follower, m *rpc.FollowerMessage) {
+func (h *hub) acknowledge(f *follower, m *rpc.FollowerMessage) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if m.ConfigVersion > f.configVersion {
@@ -162,12 +165,12 @@
 		if w.number == 0 || w.number > f.acked {
 			return false
 		}
-		w.left.Done()
+		w.pending.Done()
 		return true
 	})
 }
 
-// next makes the update that a follower lacks, nil if it lacks nothing.
+// next builds the next update for a follower, nil if the follower is up to date.
 func (h *hub) next(f *follower) *rpc.FleetUpdate {
 	state := h.ledger.State()
 	addrs := h.controlAddrs()
@@ -175,17 +178,17 @@
 	defer h.mu.Unlock()
 	now := clock.Now()
 	u := &rpc.FleetUpdate{}
-	h.holdCommitted(state)
-	lacks := f.number == 0 || !slices.Equal(addrs, f.controlAddrs)
-	if lacks {
-		// They seldom change, and in each update they would be a tenth of its bytes.
+	h.mergeQuarantined(state)
+	outdated := f.number == 0 || !slices.Equal(addrs, f.controlAddrs)
+	if outdated {
+		// The addresses seldom change, and would be a tenth of the bytes of each update.
 		u.ControlAddrs, f.controlAddrs = addrs, addrs
 	}
 	if f.role == RoleEntry {
-		lacks = f.lackOfEntries(u, h.entries()) || lacks
+		outdated = f.addEntries(u, h.entries()) || outdated
 	}
 	if f.role != RoleControl {
-		lacks = f.lackOfLedger(u, state, now, h.agents) || lacks
+		outdated = f.addCommitted(u, state, now, h.agents) || outdated
 	}
 	for id := range f.changed {
 		if b := h.servers.Get(id); b != nil {
@@ -203,7 +206,7 @@
 	u.Suspicions = follow.SuspicionsToProto(f.suspicions, now)
 	u.Signals = follow.SignalsToProto(f.signals, now)
 	u.Turns = f.turns
-	if !lacks && len(u.Servers)+len(u.Seen)+len(u.Reports)+len(u.Suspicions)+len(u.Signals)+len(u.Turns) == 0 {
+	if !outdated && len(u.Servers)+len(u.Seen)+len(u.Reports)+len(u.Suspicions)+len(u.Signals)+len(u.Turns) == 0 {
 		return nil
 	}
 	f.suspicions, f.signals, f.turns = nil, nil, nil
@@ -220,16 +223,17 @@
 	return u
 }
 
-// mayTakeConfig tells whether a newer configuration is sent now. Agents need the
-// engine's and the origin's lines only, and share the link of their VM with requests.
-func (f *follower) mayTakeConfig(now time.Time) bool {
+// configDue reports whether a newer configuration is sent now. Agents get them at
+// intervals: they need only the settings of the engine and the origin, and share the
+// link of their VM with requests.
+func (f *follower) configDue(now time.Time) bool {
 	return f.role != RoleAgent || now.Sub(f.configAt) >= agentConfigInterval
 }
 
-// lackOfLedger adds what is committed and was not sent yet.
-func (f *follower) lackOfLedger(u *rpc.FleetUpdate, state *ledger.State, now time.Time, agents *agentConfigs) (lacks bool) {
-	if state.ConfigVersion > f.configVersion && f.mayTakeConfig(now) {
-		lacks = f.lackOfConfig(u, state, now, agents)
+// addCommitted adds the committed state that was not sent yet.
+func (f *follower) addCommitted(u *rpc.FleetUpdate, state *ledger.State, now time.Time, agents *agentConfigs) (added bool) {
+	if state.ConfigVersion > f.configVersion && f.configDue(now) {
+		added = f.addConfig(u, state, now, agents)
 	}
 	for model, newest := range state.Versions {
 		for _, v := range newest.History() {
@@ -240,20 +244,20 @@
 			u.Versions = append(u.Versions, &rpc.ModelVersion{
 				Model: model, Version: v.Number, AgeMs: now.Sub(v.AppliedAt).Milliseconds(),
 			})
-			lacks = true
+			added = true
 		}
 	}
-	return lacks
+	return added
 }
 
-// lackOfConfig adds the committed document, or what an agent needs of it.
-func (f *follower) lackOfConfig(u *rpc.FleetUpdate, state *ledger.State, now time.Time, agents *agentConfigs) bool {
+// addConfig adds the committed document, or for an agent its services if they have changed.
+func (f *follower) addConfig(u *rpc.FleetUpdate, state *ledger.State, now time.Time, agents *agentConfigs) bool {
 	document := state.Config
 	if f.role == RoleAgent && agents.decode != nil {
 		var err error
-		document, err = agents.lacking(f.configVersion, state.ConfigVersion, state.Config)
+		document, err = agents.newServices(f.configVersion, state.ConfigVersion, state.Config)
 		if err != nil || document == nil {
-			return false // a document that can't be read was never accepted
+			return false // no error is expected: a document that cannot be decoded is not accepted
 		}
 	}
 	u.ConfigVersion, u.Config = state.ConfigVersion, document
@@ -261,8 +265,8 @@
 	return true
 }
 
-// lackOfEntries adds the entries if they are others than the follower knows.
-func (f *follower) lackOfEntries(u *rpc.FleetUpdate, entries []*rpc.Entry) bool {
+// addEntries adds the list of entries if it differs from the one sent last.
+func (f *follower) addEntries(u *rpc.FleetUpdate, entries []*rpc.Entry) bool {
 	same := func(a, b *rpc.Entry) bool { return a.Name == b.Name && a.Zone == b.Zone }
 	if slices.EqualFunc(entries, f.entries, same) {
 		return false
@@ -272,7 +276,8 @@
 	return true
 }
 
-// entries are those that follow, in the order of names; the lock is held.
+// entries returns the entries among the followers, in the order of names; the caller
+// holds the lock.
 func (h *hub) entries() []*rpc.Entry {
 	var out []*rpc.Entry
 	for f := range h.followers {
--- a/internal/fleetcontrol/heldapi.go
+++ b/internal/fleetcontrol/heldapi.go
@@ -12,22 +12,22 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// HeldPath is where operators see work under which servers ended; below it, by digest, they let
-// it go.
+// HeldPath is the path of the operators' API for suspect and quarantined contents: GET lists
+// them, DELETE of a digest below it releases one.
 const HeldPath = "/v1/held"
 
-// HeldWork is one piece of such work, as operators see it.
+// HeldWork is a suspect or quarantined content in the list for operators.
 type HeldWork struct {
 	Content string   `json:"content"`
 	Verdict string   `json:"verdict"`
 	Servers []string `json:"servers"`
-	// HeldMs is for how long it is held, 0 if it is not.
+	// HeldMs is for how long the content has been quarantined, 0 if it is not.
 	HeldMs int64 `json:"held_ms"`
 }
 
-// MountHeld adds the operators' calls about work that is held.
+// MountHeld adds the operators' API for suspect and quarantined contents.
 func (s *Server) MountHeld(e *echo.Echo) {
-	e.GET(HeldPath, func(c echo.Context) error { return c.JSON(http.StatusOK, s.hub.heldWork(clock.Now())) })
+	e.GET(HeldPath, func(c echo.Context) error { return c.JSON(http.StatusOK, s.hub.suspectContents(clock.Now())) })
 	e.DELETE(HeldPath+"/:content", func(c echo.Context) error {
 		d, err := quarantine.ParseDigest(c.Param("content"))
 		if err != nil {
@@ -40,8 +40,8 @@
 	})
 }
 
-// heldWork lists what anything counts against.
-func (h *hub) heldWork(now time.Time) []HeldWork {
+// suspectContents lists the suspect and quarantined contents.
+func (h *hub) suspectContents(now time.Time) []HeldWork {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := []HeldWork{}
@@ -55,14 +55,14 @@
 	return out
 }
 
-// LetGo lets work run again: nothing that is known of it until now counts. by names who asked,
-// for the audit trail. After ErrUnavailable it may or may not be let go.
+// LetGo releases a content: earlier crashes no longer count against it. by names the caller
+// in the audit log. After ErrUnavailable the release may or may not have taken effect.
 func (s *Server) LetGo(ctx context.Context, d quarantine.Digest, by string) error {
 	err := s.submit(ctx, &rpc.FleetCommand{Lifted: d[:]})
 	if err == nil {
 		now := clock.Now()
-		s.hub.suspected([]quarantine.News{{Digest: d, Cleared: true, At: now}})
+		s.hub.mergeSuspicions([]quarantine.News{{Digest: d, Cleared: true, At: now}})
 	}
-	s.cfg.Logger.Warn().Stringer("content", d).Str("by", by).Bool("accepted", err == nil).AnErr("error", err).Msg("held work let go")
+	s.cfg.Logger.Warn().Stringer("content", d).Str("by", by).Bool("accepted", err == nil).AnErr("error", err).Msg("release of quarantined content decided")
 	return err
 }
--- a/internal/fleetcontrol/hub.go
+++ b/internal/fleetcontrol/hub.go
@@ -25,16 +25,16 @@
 )
 
 const (
-	// renewInterval is how long renewed announcements wait to share an update:
-	// entries judge by seconds whether a server is heard.
+	// renewInterval is how long renewals are batched into one update: entries need
+	// the time of a server's last announcement to within seconds.
 	renewInterval = 500 * time.Millisecond
-	// reportInterval is the same for agents' reports, by which entries choose.
+	// reportInterval is the same for agents' reports, by which entries choose servers.
 	reportInterval = 100 * time.Millisecond
-	// forgetInterval is how often servers that were not heard are dropped.
+	// forgetInterval is how often silent servers are dropped.
 	forgetInterval = 5 * time.Second
 )
 
-// hub keeps the directory and spreads it, with the ledger, to followers.
+// hub keeps the directory and sends it, with the committed state, to followers.
 type hub struct {
 	ledger       *ledger.Ledger
 	controlAddrs func() []string
@@ -48,15 +48,15 @@
 	followers map[*follower]bool
 	// reports are the agents' newest reports by address of the backend server.
 	reports map[string]*rpc.AgentReport
-	// suspects is what entries know of work that was at servers that ended.
+	// suspects holds the suspicions of all entries.
 	suspects *quarantine.Table
-	// signals are what backend servers have said of themselves to entries.
+	// signals are those that backend servers have sent to entries.
 	signals *backpressure.Table
-	// committed is the work that the log holds, as it was taken over, recorded the same as a
-	// set.
+	// committed are the quarantined contents of the committed state when it was last merged,
+	// recorded the same as a set.
 	committed []quarantine.Digest
 	recorded  map[quarantine.Digest]bool
-	// turns are those of suspect work that this server has given.
+	// turns are those that this server has granted.
 	turns turns
 }
 
@@ -70,7 +70,8 @@
 	}
 }
 
-// run wakes followers at changes of the ledger and for renewals.
+// run wakes followers for changes of the ledger, renewals and reports, and drops outdated
+// records.
 func (h *hub) run(ctx context.Context) {
 	renew := time.NewTicker(renewInterval)
 	defer renew.Stop()
@@ -102,17 +103,17 @@
 
 func (h *hub) wakeAll() { h.wakeFor(func(*follower) bool { return true }) }
 
-func (h *hub) wakeFor(lacks func(*follower) bool) {
+func (h *hub) wakeFor(outdated func(*follower) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for f := range h.followers {
-		if lacks(f) {
+		if outdated(f) {
 			f.notify()
 		}
 	}
 }
 
-// merge takes a record in and marks it for the followers; the lock is held.
+// merge merges a record and marks it for the followers; the caller holds the lock.
 func (h *hub) merge(b fleet.BackendServer, source string) directory.Change {
 	change := h.servers.Merge(b)
 	switch change {
@@ -138,7 +139,7 @@
 }
 
 // announce merges an announcement and, if the server leaves, waits until the
-// followers know.
+// followers have acknowledged it.
 func (h *hub) announce(ctx context.Context, b fleet.BackendServer) error {
 	h.mu.Lock()
 	change := h.merge(b, "announcement")
@@ -146,33 +147,33 @@
 		h.mu.Unlock()
 		return nil
 	}
-	var left sync.WaitGroup
+	var pending sync.WaitGroup
 	for f := range h.followers {
-		left.Add(1)
-		f.waiters = append(f.waiters, &waiter{id: b.ID, left: &left})
+		pending.Add(1)
+		f.waiters = append(f.waiters, &waiter{id: b.ID, pending: &pending})
 	}
 	h.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
-		left.Wait()
+		pending.Wait()
 		close(done)
 	}()
 	select {
 	case <-done:
-	case <-time.After(spreadTimeout):
+	case <-time.After(leaveTimeout):
 		h.log.Warn().Str("server", b.ID).Msg("not all followers have acknowledged that the server leaves")
 	case <-ctx.Done():
 	}
 	return nil
 }
 
-// peerUpdate takes over what another control server knows of backend servers.
-func (h *hub) peerUpdate(source string, u *rpc.FleetUpdate) {
+// mergePeerUpdate merges an update of another control server.
+func (h *hub) mergePeerUpdate(source string, u *rpc.FleetUpdate) {
 	if len(u.Suspicions) > 0 {
-		h.suspected(follow.SuspicionsFromProto(u.Suspicions, clock.Now()))
+		h.mergeSuspicions(follow.SuspicionsFromProto(u.Suspicions, clock.Now()))
 	}
 	if len(u.Signals) > 0 {
-		h.signalled(follow.SignalsFromProto(u.Signals, clock.Now()))
+		h.mergeSignals(follow.SignalsFromProto(u.Signals, clock.Now()))
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -187,9 +188,10 @@
 	}
 }
 
-// report takes an agent's report; one that changes where requests may go is
-// passed on at once, others with the next renewals.
-func (h *hub) report(r *rpc.AgentReport) {
+// mergeReport merges an agent's report and marks it for entries. A change of the loaded
+// models, or of whether the engine is loading, is sent at once, since it changes where
+// requests may be dispatched; other reports are sent every reportInterval.
+func (h *hub) mergeReport(r *rpc.AgentReport) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	known := h.reports[r.Addr]
--- a/internal/fleetcontrol/hub_test.go
+++ b/internal/fleetcontrol/hub_test.go
@@ -24,21 +24,21 @@
 	h.ledger.Apply(version, data)
 }
 
-func TestConfigurationThatIsHeldIsNotSentAgain(t *testing.T) {
+func TestAcceptedConfigurationIsNotSentAgain(t *testing.T) {
 	h := testHub()
 	f := h.join(&rpc.FollowerMessage{Name: "e", Role: RoleEntry})
 	putConfig(t, h, 3)
 	assert.EqualValues(t, 3, h.next(f).ConfigVersion)
 	assert.Nil(t, h.next(f))
-	h.acknowledged(f, &rpc.FollowerMessage{ConfigVersion: 4}) // from another control server
+	h.acknowledge(f, &rpc.FollowerMessage{ConfigVersion: 4}) // from another control server
 	putConfig(t, h, 4)
 	assert.Nil(t, h.next(f))
-	h.acknowledged(f, &rpc.FollowerMessage{ConfigVersion: 2}) // came late
+	h.acknowledge(f, &rpc.FollowerMessage{ConfigVersion: 2}) // delayed
 	putConfig(t, h, 5)
 	assert.EqualValues(t, 5, h.next(f).ConfigVersion)
 }
 
-func TestAgentsGetConfigurationsAtIntervals(t *testing.T) {
+func TestConfigurationsForAgentsAreRateLimited(t *testing.T) {
 	h := testHub()
 	putConfig(t, h, 1)
 	f := h.join(&rpc.FollowerMessage{Name: "a", Role: RoleAgent})
@@ -49,7 +49,7 @@
 	assert.EqualValues(t, 2, h.next(f).ConfigVersion)
 }
 
-func TestEntriesLearnWhoTheEntriesAre(t *testing.T) {
+func TestEntriesReceiveListOfEntries(t *testing.T) {
 	h := testHub()
 	b := h.join(&rpc.FollowerMessage{Name: "b", Role: RoleEntry, Zone: "z1"})
 	h.join(&rpc.FollowerMessage{Name: "agent", Role: RoleAgent, Zone: "z1"})
@@ -69,7 +69,7 @@
 	assert.Len(t, u.Entries.Entries, 1)
 }
 
-func TestControlServersAreListedOnlyWhenTheyChange(t *testing.T) {
+func TestControlServersAreSentOnlyWhenTheyChange(t *testing.T) {
 	h := testHub()
 	f := h.join(&rpc.FollowerMessage{Name: "e", Role: RoleEntry})
 	assert.Equal(t, []string{"127.0.0.1:1"}, h.next(f).ControlAddrs)
--- a/internal/fleetcontrol/metrics.go
+++ b/internal/fleetcontrol/metrics.go
@@ -9,7 +9,7 @@
 	"lynxgate.dev/lynxgate/internal/fleet"
 )
 
-// collectors returns the gauges of the hub, taken at each scrape.
+// collectors returns the metrics of the hub; gauges are computed at each scrape.
 func (h *hub) collectors() []prometheus.Collector {
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value)
@@ -30,8 +30,8 @@
 	}
 }
 
-// directoryAge is how long ago the backend server that was heard longest ago was
-// heard, of those that are ready and have their address.
+// directoryAge returns the longest time since the last announcement of a backend
+// server, over those that are ready and still have their address.
 func (h *hub) directoryAge(now time.Time) (age time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/fleetcontrol/server.go
+++ b/internal/fleetcontrol/server.go
@@ -3,7 +3,7 @@
 // announce themselves.
 //
 // State: the ledger, driven by the replicated log; the directory of backend
-// servers, in memory, and the followers, both behind the hub's lock. Messages:
+// servers, in memory, and the followers, both guarded by the hub's lock. Messages:
 // calls of operators and backend servers (through an adapter), rpc.Fleet from
 // daemons and other control servers.
 package fleetcontrol
@@ -29,34 +29,35 @@
 )
 
 const (
-	// proposeTimeout bounds a change. Operators move on after a second.
+	// proposeTimeout bounds a change. Operators' calls time out after a second.
 	proposeTimeout = 900 * time.Millisecond
 	// readTimeout bounds a linearizable read, for the same reason.
 	readTimeout = 800 * time.Millisecond
-	// leaderWait is the pause before a change is tried again while no leader is
-	// known: a small part of an election timeout.
-	leaderWait = 50 * time.Millisecond
-	// spreadTimeout bounds the wait until all followers know that a backend
-	// server leaves. Its call is given up after a second.
-	spreadTimeout = 500 * time.Millisecond
+	// leaderRetryPause is the pause before a change is proposed again while no leader
+	// is known: a small part of an election timeout.
+	leaderRetryPause = 50 * time.Millisecond
+	// leaveTimeout bounds the wait until all followers have acknowledged that a
+	// backend server leaves. The server's call times out after a second.
+	leaveTimeout = 500 * time.Millisecond
 )
 
-// ErrUnavailable refuses a call for now: it may or may not have had an effect,
-// and may be sent again, here or elsewhere.
+// ErrUnavailable is returned for a call that may or may not have had an effect. The
+// caller may retry it, here or at another control server.
 var ErrUnavailable = errors.New("no quorum of control servers in reach")
 
-// Config says how a control server works.
+// Config is the configuration of a control server.
 type Config struct {
 	Name string
 	// Addr is the rpc ip:port of this server.
 	Addr    string
 	Replica replica.Config
-	// Seeds returns rpc addresses of control servers that the settings name.
+	// Seeds returns the rpc addresses of control servers in the settings.
 	Seeds func() []string
 	// AnnounceInterval is the time between two announcements of a backend server, 0
-	// if it isn't known.
+	// if it is not known.
 	AnnounceInterval time.Duration
-	// Decode reads the operators' document; without it servers of any service are known.
+	// Decode decodes the operators' document; if it is nil, servers of any service are
+	// accepted.
 	Decode func(document []byte) (*fleet.Config, error)
 	Logger zerolog.Logger
 }
@@ -70,7 +71,7 @@
 	peers  *follow.Client
 }
 
-// New opens the replicated log and makes a server.
+// New opens the replicated log and returns a server.
 func New(cfg Config) (*Server, error) {
 	l := ledger.New(clock.Now)
 	node, err := replica.Start(cfg.Replica, l)
@@ -81,7 +82,7 @@
 	s.hub = newHub(l, s.controlAddrs, cfg.AnnounceInterval, cfg.Decode, cfg.Logger)
 	s.peers = follow.New(follow.Config{
 		Name: cfg.Name, Role: RoleControl, Self: cfg.Addr, Seeds: s.peerAddrs,
-		Update: s.hub.peerUpdate, Lost: func(string) {}, Logger: cfg.Logger,
+		Update: s.hub.mergePeerUpdate, Lost: func(string) {}, Logger: cfg.Logger,
 	})
 	return s, nil
 }
@@ -97,14 +98,14 @@
 	return nil
 }
 
-// Run works until ctx is done, Stop has stopped the log, or the log fails, which alone
-// is an error beside that of ctx.
+// Run runs the server until ctx is done, Stop has stopped the log, or the log fails. It
+// returns the error of ctx or that of the log, nil after Stop.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() { _ = s.peers.Run(ctx) }()
 	go s.hub.run(ctx)
-	go s.recordHeld(ctx)
+	go s.recordQuarantined(ctx)
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -116,12 +117,12 @@
 	}
 }
 
-// Stop hands leadership over and stops the log.
+// Stop transfers leadership and stops the log.
 func (s *Server) Stop(ctx context.Context) error {
 	return s.node.Stop(ctx)
 }
 
-// Status is the state of the replicated log here.
+// Status returns the state of the replicated log at this server.
 func (s *Server) Status() replica.Status { return s.node.Status() }
 
 // Collectors returns the metrics of the replicated log and of the directory.
@@ -129,7 +130,7 @@
 	return append(s.hub.collectors(), s.node)
 }
 
-// controlAddrs are the rpc addresses of all members of the log.
+// controlAddrs returns the rpc addresses of all members of the log.
 func (s *Server) controlAddrs() []string {
 	var addrs []string
 	for _, m := range s.node.Status().Members {
@@ -140,12 +141,12 @@
 
 func (s *Server) peerAddrs() []string { return append(s.cfg.Seeds(), s.controlAddrs()...) }
 
-// PutConfig puts a valid document in force. A document whose version is not
-// higher than the one held changes nothing and is accepted, too. After
-// ErrUnavailable it may or may not come into force.
+// PutConfig puts a valid document in force. It accepts a document whose version is
+// not higher than the committed one, too, without effect. After ErrUnavailable the
+// document may or may not come into force.
 func (s *Server) PutConfig(ctx context.Context, version uint64, document []byte) error {
-	if held := s.ledger.State().ConfigVersion; held >= version {
-		s.cfg.Logger.Info().Uint64("version", version).Uint64("held", held).Msg("configuration is overtaken")
+	if committed := s.ledger.State().ConfigVersion; committed >= version {
+		s.cfg.Logger.Info().Uint64("version", version).Uint64("held", committed).Msg("configuration ignored: its version is not higher than the committed one")
 		return nil
 	}
 	err := s.submit(ctx, &rpc.FleetCommand{ConfigVersion: version, Config: ledger.Deflate(document)})
@@ -153,7 +154,8 @@
 	return err
 }
 
-// NameVersion names new weights of a model; a lower version changes nothing.
+// NameVersion names a new version of the weights of a model. A version that is not higher
+// than the committed one has no effect.
 func (s *Server) NameVersion(ctx context.Context, model string, version uint64) error {
 	if s.ledger.State().Versions[model].Number >= version {
 		return nil
@@ -190,25 +192,25 @@
 	return ledger.Inflate(state.Config)
 }
 
-// Announce takes an announcement of a backend server. A server that leaves is
-// acknowledged once all followers know it, or spreadTimeout has passed: those
-// that have not answered by then are out of reach. One of a service that isn't declared is
-// accepted, and changes nothing.
+// Announce processes an announcement of a backend server. If the server leaves, it returns
+// once all followers have acknowledged this, or after leaveTimeout: followers that have not
+// answered by then are unreachable. An announcement for a service that is not declared is
+// counted and has no effect; the caller gets no error.
 func (s *Server) Announce(ctx context.Context, b fleet.BackendServer) error {
 	b.SeenAt = clock.Now()
-	if err := s.hub.mayTell(&b); err != nil {
-		s.hub.refused.note(b.SeenAt, b.ID, whyUnknownService, err)
+	if err := s.hub.checkService(&b); err != nil {
+		s.hub.refused.add(b.SeenAt, b.ID, reasonUnknownService, err)
 		return nil
 	}
 	return s.hub.announce(ctx, b)
 }
 
-// Refused notes an announcement under an id that could not be read.
-func (s *Server) Refused(id string, why error) {
-	s.hub.refused.note(clock.Now(), id, whyUnreadable, why)
+// Refused counts and logs an announcement of this id that could not be decoded.
+func (s *Server) Refused(id string, err error) {
+	s.hub.refused.add(clock.Now(), id, reasonUnreadable, err)
 }
 
-// submit brings a command into the log, through the leader.
+// submit commits a command, through the leader.
 func (s *Server) submit(ctx context.Context, c *rpc.FleetCommand) error {
 	data, err := proto.Marshal(c)
 	if err != nil {
@@ -225,7 +227,7 @@
 			return fmt.Errorf("%w: %w", ErrUnavailable, err)
 		}
 		select {
-		case <-time.After(leaderWait):
+		case <-time.After(leaderRetryPause):
 		case <-ctx.Done():
 			return fmt.Errorf("%w: %w", ErrUnavailable, err)
 		}
@@ -237,7 +239,7 @@
 	return errors.As(err, &notLeader) || errors.Is(err, replica.ErrNoQuorum)
 }
 
-// submitOnce proposes here, or at the leader.
+// submitOnce proposes a command at this server, or at the leader if this is another one.
 func (s *Server) submitOnce(ctx context.Context, data []byte) error {
 	_, err := s.node.Propose(ctx, data)
 	var notLeader *replica.NotLeaderError
@@ -247,9 +249,9 @@
 	return submitTo(ctx, notLeader.Leader, data)
 }
 
-// submitTo hands a command to the leader over a connection of its own: changes are few,
-// and a kept connection may have gone silent, which would cost each change that took it
-// its whole time.
+// submitTo sends a command to the leader over a new connection. Changes are rare, and a
+// reused connection may be dead without an error, so that each change sent on it would
+// time out.
 func submitTo(ctx context.Context, leader string, data []byte) error {
 	conn, err := rpcconn.Dial(ctx, leader)
 	if err != nil {
@@ -272,7 +274,7 @@
 // service implements rpc.DRPCFleetServer.
 type service struct{ server *Server }
 
-// Submit proposes a command of another control server.
+// Submit proposes a command that another control server has forwarded.
 func (s *service) Submit(ctx context.Context, req *rpc.SubmitRequest) (*rpc.SubmitResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -288,7 +290,7 @@
 	return resp, nil
 }
 
-// Follow serves one follower.
+// Follow sends updates to one follower.
 func (s *service) Follow(stream rpc.DRPCFleet_FollowStream) error {
 	return s.server.hub.serve(stream)
 }
--- a/internal/fleetcontrol/server_test.go
+++ b/internal/fleetcontrol/server_test.go
@@ -11,8 +11,8 @@
 	"lynxgate.dev/lynxgate/internal/replica"
 )
 
-func TestStopIsNotAFault(t *testing.T) {
-	const addr = "127.0.0.1:1" // nobody else takes part
+func TestRunReturnsNoErrorAfterStop(t *testing.T) {
+	const addr = "127.0.0.1:1" // the only member
 	s, err := New(Config{
 		Name: "c", Addr: addr, Seeds: func() []string { return nil }, Logger: zerolog.Nop(),
 		Replica: replica.Config{
--- a/internal/fleetcontrol/services.go
+++ b/internal/fleetcontrol/services.go
@@ -7,24 +7,24 @@
 	"lynxgate.dev/lynxgate/internal/ledger"
 )
 
-// agentConfigs makes what agents get of a configuration: its services. Whole documents to all agents
-// would be a fifth of what control servers send.
+// agentConfigs extracts the services of configurations, the part that agents receive. Whole
+// documents to all agents would be a fifth of the bytes that control servers send.
 type agentConfigs struct {
 	decode func(document []byte) (*fleet.Config, error)
 
 	mu sync.Mutex
-	// version is the newest document that was read, deflated are its services; services are
-	// the same without a version.
+	// version is that of the newest document decoded, deflated its services, compressed, with
+	// the version; services are the same uncompressed without the version.
 	version  uint64
 	deflated []byte
 	services string
-	// same are the versions that were read here and have these services.
+	// same are the decoded versions that have these services.
 	same map[uint64]bool
 }
 
-// lacking returns the services of a committed document, deflated; nil if an agent that holds
-// the services of another version has the same ones.
-func (a *agentConfigs) lacking(held, version uint64, document []byte) ([]byte, error) {
+// newServices returns the compressed services of a committed document, nil if the version
+// that an agent has is known to have the same ones.
+func (a *agentConfigs) newServices(known, version uint64, document []byte) ([]byte, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if version > a.version {
@@ -32,7 +32,7 @@
 			return nil, err
 		}
 	}
-	if a.same[held] {
+	if a.same[known] {
 		return nil, nil
 	}
 	return a.deflated, nil
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	config.Version = 0 // the same services are told by the same bytes
+	config.Version = 0 // without it, equal services have equal encodings
 	services, err := fleet.EncodeServices(config)
 	if err != nil {
 		return err
--- a/internal/fleetcontrol/signals.go
+++ b/internal/fleetcontrol/signals.go
@@ -2,9 +2,9 @@
 
 import "lynxgate.dev/lynxgate/internal/backpressure"
 
-// signalled merges what backend servers have said to entries, and passes on to entries and control
-// servers what is new.
-func (h *hub) signalled(news []backpressure.News) {
+// mergeSignals merges signals of backend servers that entries have received, and marks new ones
+// for entries and control servers.
+func (h *hub) mergeSignals(news []backpressure.News) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var fresh []backpressure.News
--- a/internal/fleetcontrol/signals_test.go
+++ b/internal/fleetcontrol/signals_test.go
@@ -11,7 +11,7 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-func TestStatementsReachEntriesAndControlServersOnce(t *testing.T) {
+func TestSignalsReachEntriesAndControlServersOnce(t *testing.T) {
 	h := testHub()
 	entry := h.join(&rpc.FollowerMessage{Name: "e", Role: RoleEntry})
 	peer := h.join(&rpc.FollowerMessage{Name: "c", Role: RoleControl})
@@ -19,10 +19,10 @@
 	for _, f := range []*follower{entry, peer, agent} {
 		h.next(f)
 	}
-	said := backpressure.News{Start: "s-1", Limited: true, Rate: 2.3, At: clock.Now()}
-	h.signalled([]backpressure.News{said})
-	said.At = clock.Now()
-	h.signalled([]backpressure.News{said}) // from another entry, or back from a peer
+	signal := backpressure.News{Start: "s-1", Limited: true, Rate: 2.3, At: clock.Now()}
+	h.mergeSignals([]backpressure.News{signal})
+	signal.At = clock.Now()
+	h.mergeSignals([]backpressure.News{signal}) // from another entry, or from a control server
 	for _, f := range []*follower{entry, peer} {
 		u := h.next(f)
 		require.NotNil(t, u)
@@ -30,7 +30,7 @@
 		assert.Equal(t, 2.3, u.Signals[0].Rate)
 		assert.Nil(t, h.next(f))
 	}
-	assert.Nil(t, h.next(agent), "agents send no requests")
+	assert.Nil(t, h.next(agent), "agents dispatch no requests")
 	late := h.join(&rpc.FollowerMessage{Name: "late", Role: RoleEntry})
-	assert.Len(t, h.next(late).Signals, 1, "an entry that has just started is told all")
+	assert.Len(t, h.next(late).Signals, 1, "an entry that has just started receives all signals")
 }
--- a/internal/fleetcontrol/submit_test.go
+++ b/internal/fleetcontrol/submit_test.go
@@ -26,7 +26,8 @@
 	return &rpc.SubmitResponse{Status: f.status}, nil
 }
 
-// quietListener accepts connections and makes those accepted so far silent for good.
+// quietListener accepts connections. silence makes those accepted so far discard all that
+// they receive.
 type quietListener struct {
 	net.Listener
 	accepted, silenced atomic.Int64
@@ -57,7 +58,8 @@
 	}
 }
 
-func TestCommandsAreSubmittedThoughConnectionsWentSilent(t *testing.T) {
+// A connection to the leader that dies without an error must not be reused for the next command.
+func TestSubmitSucceedsAfterEarlierConnectionsDied(t *testing.T) {
 	leader := &fakeLeader{status: rpc.Status_STATUS_OK}
 	mux := drpcmux.New()
 	require.NoError(t, rpc.DRPCRegisterFleet(mux, leader))
--- a/internal/fleetcontrol/suspects.go
+++ b/internal/fleetcontrol/suspects.go
@@ -12,27 +12,28 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// What entries know of work under which backend servers ended is spread to all entries at once,
-// through every control server: it is told by an end, some facts each, and bounded by the table.
-// Only work that is to be held goes into the log, some 30 bytes once: it must not end three
-// more servers after all control servers and entries have lost power.
+// Suspicions, which request contents were in flight at a backend server when it crashed, are
+// forwarded to all entries at once, through every control server and outside the log: a crash
+// causes a few of them, and the table bounds them. Only quarantined contents are written to the
+// log, some 30 bytes each, once: such a content must not crash three more servers after all
+// control servers and entries have lost power.
 
 const (
-	// recordInterval is how often work that is held is looked for that the log does not know.
+	// recordInterval is how often quarantined contents that are not in the log are looked for.
 	recordInterval = 200 * time.Millisecond
 	// maxRecorded bounds the digests of one command.
 	maxRecorded = 64
 )
 
-// suspected merges facts and passes on what was new.
-func (h *hub) suspected(news []quarantine.News) {
+// mergeSuspicions merges suspicions and marks the new ones for followers.
+func (h *hub) mergeSuspicions(news []quarantine.News) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.spread(clock.Now(), news)
+	h.mergeSuspicionsLocked(clock.Now(), news)
 }
 
-// spread merges facts and marks the new ones for followers; the lock is held.
-func (h *hub) spread(now time.Time, news []quarantine.News) {
+// mergeSuspicionsLocked is mergeSuspicions for callers that hold the lock.
+func (h *hub) mergeSuspicionsLocked(now time.Time, news []quarantine.News) {
 	var fresh []quarantine.News
 	for _, n := range news {
 		if h.suspects.Merge(now, n) {
@@ -40,12 +41,12 @@
 		}
 	}
 	if len(fresh) > 0 {
-		h.pass(fresh)
+		h.forward(fresh)
 	}
 }
 
-// pass marks facts for all entries and control servers; the lock is held.
-func (h *hub) pass(news []quarantine.News) {
+// forward marks suspicions for all entries and control servers; the caller holds the lock.
+func (h *hub) forward(news []quarantine.News) {
 	for f := range h.followers {
 		if f.role != RoleAgent {
 			f.suspicions = append(f.suspicions, news...)
@@ -54,26 +55,27 @@
 	}
 }
 
-// settle makes verdicts final.
+// settle makes due verdicts final and forwards new quarantines.
 func (h *hub) settle() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.suspects.Empty() {
 		return
 	}
-	held := h.suspects.Settle(clock.Now())
-	for _, n := range held {
+	quarantined := h.suspects.Settle(clock.Now())
+	for _, n := range quarantined {
 		h.log.Warn().Stringer("content", n.Digest).Strs("ended_servers", h.suspects.Evidence(n.Digest)).Msg("work is held back")
 	}
-	if len(held) > 0 {
-		h.pass(held)
+	if len(quarantined) > 0 {
+		h.forward(quarantined)
 	}
 }
 
-// holdCommitted takes over the work that the log says is held; the lock is held. It comes
-// before anything of the same state is sent: an entry that learns its first configuration after
-// a loss of power knows then what it must not send.
-func (h *hub) holdCommitted(state *ledger.State) {
+// mergeQuarantined merges the quarantined contents of the committed state; the caller holds the
+// lock. It is called before anything of that state is sent: an entry that receives its first
+// configuration after a power loss then has the quarantined contents, too, and does not dispatch
+// them.
+func (h *hub) mergeQuarantined(state *ledger.State) {
 	if slices.Equal(state.Held, h.committed) {
 		return
 	}
@@ -83,13 +85,13 @@
 	for _, d := range state.Held {
 		recorded[d] = true
 		if !h.recorded[d] {
-			h.spread(now, []quarantine.News{{Digest: d, At: now}})
+			h.mergeSuspicionsLocked(now, []quarantine.News{{Digest: d, At: now}})
 		}
 	}
 	h.recorded = recorded
 }
 
-// unrecorded returns work that is held here and that the log does not know.
+// unrecorded returns the digests of quarantined contents that are not in the log yet.
 func (h *hub) unrecorded() [][]byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -106,8 +108,8 @@
 	return out
 }
 
-// recordHeld puts work that is held into the log, while this server leads.
-func (s *Server) recordHeld(ctx context.Context) {
+// recordQuarantined writes quarantined contents to the log while this server is the leader.
+func (s *Server) recordQuarantined(ctx context.Context) {
 	ticker := time.NewTicker(recordInterval)
 	defer ticker.Stop()
 	for {
@@ -116,14 +118,14 @@
 		case <-ctx.Done():
 			return
 		}
-		held := s.hub.unrecorded()
-		if len(held) == 0 || !s.leads() {
+		quarantined := s.hub.unrecorded()
+		if len(quarantined) == 0 || !s.isLeader() {
 			continue
 		}
-		err := s.submit(ctx, &rpc.FleetCommand{Held: held})
-		s.cfg.Logger.Info().Int("contents", len(held)).AnErr("error", err).Msg("work that is held was put into the log")
+		err := s.submit(ctx, &rpc.FleetCommand{Held: quarantined})
+		s.cfg.Logger.Info().Int("contents", len(quarantined)).AnErr("error", err).Msg("work that is held was put into the log")
 	}
 }
 
-// leads tells whether this server is the leader of the log, as far as it knows.
-func (s *Server) leads() bool { return s.node.Status().Role == replica.RoleLeader }
+// isLeader reports whether this server considers itself the leader of the log.
+func (s *Server) isLeader() bool { return s.node.Status().Role == replica.RoleLeader }
--- a/internal/fleetcontrol/suspects_test.go
+++ b/internal/fleetcontrol/suspects_test.go
@@ -15,7 +15,8 @@
 
 var crashing = quarantine.DigestOf("org", "POST", "h", "/x", nil)
 
-func ends(servers ...string) []quarantine.News {
+// crashes returns suspicions against crashing: one crash of each server.
+func crashes(servers ...string) []quarantine.News {
 	var out []quarantine.News
 	for i, server := range servers {
 		out = append(out, quarantine.News{Digest: crashing, Server: server, At: clock.Now().Add(time.Duration(i-10) * time.Second)})
@@ -23,7 +24,7 @@
 	return out
 }
 
-func TestNewsOfEndsReachesEntriesAndControlServersOnce(t *testing.T) {
+func TestSuspicionsReachEntriesAndControlServersOnce(t *testing.T) {
 	h := testHub()
 	entry := h.join(&rpc.FollowerMessage{Name: "e", Role: RoleEntry})
 	peer := h.join(&rpc.FollowerMessage{Name: "c", Role: RoleControl})
@@ -31,44 +32,44 @@
 	for _, f := range []*follower{entry, peer, agent} {
 		h.next(f)
 	}
-	h.suspected(ends("s-1"))
-	h.suspected(ends("s-1")) // from another entry, or back from a peer
+	h.mergeSuspicions(crashes("s-1"))
+	h.mergeSuspicions(crashes("s-1")) // from another entry, or from a control server
 	for _, f := range []*follower{entry, peer} {
 		u := h.next(f)
 		require.NotNil(t, u)
 		assert.Len(t, u.Suspicions, 1)
 		assert.Nil(t, h.next(f))
 	}
-	assert.Nil(t, h.next(agent), "agents send no requests")
+	assert.Nil(t, h.next(agent), "agents dispatch no requests")
 	late := h.join(&rpc.FollowerMessage{Name: "late", Role: RoleEntry})
-	assert.Len(t, h.next(late).Suspicions, 1, "an entry that has just started is told all")
+	assert.Len(t, h.next(late).Suspicions, 1, "an entry that has just started receives all suspicions")
 }
 
-func TestWorkThatIsHeldIsToldAndRecorded(t *testing.T) {
+func TestQuarantineIsForwardedAndRecorded(t *testing.T) {
 	h := testHub()
 	entry := h.join(&rpc.FollowerMessage{Name: "e", Role: RoleEntry})
-	h.suspected(ends("s-1", "s-2", "s-3"))
-	assert.Empty(t, h.unrecorded(), "not judged yet")
+	h.mergeSuspicions(crashes("s-1", "s-2", "s-3"))
+	assert.Empty(t, h.unrecorded(), "no final verdict yet")
 	h.settle()
 	u := h.next(entry)
-	assert.Len(t, u.Suspicions, 4, "three ends and the verdict")
-	held := h.unrecorded()
-	require.Len(t, held, 1)
-	commit(t, h, 1, held)
+	assert.Len(t, u.Suspicions, 4, "three crashes and the verdict")
+	quarantined := h.unrecorded()
+	require.Len(t, quarantined, 1)
+	commit(t, h, 1, quarantined)
 	h.next(entry)
-	assert.Empty(t, h.unrecorded(), "the log knows it")
+	assert.Empty(t, h.unrecorded(), "it is in the log")
 }
 
-func commit(t *testing.T, h *hub, index uint64, held [][]byte) {
+func commit(t *testing.T, h *hub, index uint64, quarantined [][]byte) {
 	t.Helper()
-	data, err := proto.Marshal(&rpc.FleetCommand{Held: held})
+	data, err := proto.Marshal(&rpc.FleetCommand{Held: quarantined})
 	require.NoError(t, err)
 	h.ledger.Apply(index, data)
 }
 
-// TestHeldWorkComesWithTheFirstConfiguration: after a loss of power entries must not send it
-// before they are told.
-func TestHeldWorkComesWithTheFirstConfiguration(t *testing.T) {
+// An entry that received its first configuration after a power loss before the quarantined
+// contents would dispatch them.
+func TestQuarantinedContentsComeWithFirstConfiguration(t *testing.T) {
 	h := testHub()
 	entry := h.join(&rpc.FollowerMessage{Name: "e", Role: RoleEntry})
 	h.next(entry)
@@ -80,24 +81,24 @@
 	assert.Empty(t, u.Suspicions[0].Server)
 }
 
-func TestOneEntryAtATimeHasTheTurn(t *testing.T) {
+func TestOneEntryAtATimeHasTurn(t *testing.T) {
 	h := testHub()
 	a := h.join(&rpc.FollowerMessage{Name: "a", Role: RoleEntry})
 	b := h.join(&rpc.FollowerMessage{Name: "b", Role: RoleEntry})
-	given := func(f *follower) bool {
-		require.True(t, h.turnMessage(f, &rpc.FollowerMessage{TurnWanted: crashing[:]}))
+	granted := func(f *follower) bool {
+		require.True(t, h.handleTurnMessage(f, &rpc.FollowerMessage{TurnWanted: crashing[:]}))
 		u := h.next(f)
 		require.NotNil(t, u)
 		require.Len(t, u.Turns, 1)
 		return u.Turns[0].Given
 	}
-	assert.True(t, given(a))
-	assert.False(t, given(b))
-	assert.True(t, h.turnMessage(b, &rpc.FollowerMessage{TurnEnded: crashing[:]}), "not its own")
-	assert.False(t, given(b))
-	h.turnMessage(a, &rpc.FollowerMessage{TurnEnded: crashing[:]})
-	assert.True(t, given(b))
+	assert.True(t, granted(a))
+	assert.False(t, granted(b))
+	assert.True(t, h.handleTurnMessage(b, &rpc.FollowerMessage{TurnEnded: crashing[:]}), "the turn of another entry")
+	assert.False(t, granted(b))
+	h.handleTurnMessage(a, &rpc.FollowerMessage{TurnEnded: crashing[:]})
+	assert.True(t, granted(b))
 	h.leave(b)
-	assert.True(t, given(a), "one that is gone has none")
-	assert.True(t, h.turns.ask(clock.Now().Add(turnLimit), crashing, b), "one that does not give it back loses it")
+	assert.True(t, granted(a), "the turn of an entry that has left is released")
+	assert.True(t, h.turns.acquire(clock.Now().Add(turnExpiry), crashing, b), "a turn that is not released expires")
 }
--- a/internal/fleetcontrol/turns.go
+++ b/internal/fleetcontrol/turns.go
@@ -8,30 +8,31 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// Suspect work runs at one entry at a time, so that a request that comes to all of them at
-// once ends one server after the other until it is held, and not one by entry.
+// One entry at a time dispatches a suspect request content. A crashing request that all entries
+// receive at once then crashes one server after the other until it is quarantined, and not one
+// server by entry.
 
 const (
-	// turnLimit is after how long a turn passes to another entry though its holder has not
-	// given it back: longer than a stream lasts.
-	turnLimit = 10 * time.Second
-	// maxTurns bounds the turns that are kept; without room work runs without one.
+	// turnExpiry is after how long a turn that its holder has not released may pass to another
+	// entry: longer than a stream lasts.
+	turnExpiry = 10 * time.Second
+	// maxTurns bounds the turns in memory; beyond it contents are dispatched without one.
 	maxTurns = 4096
 )
 
-// turn is the right to run suspect work.
+// turn is the right to dispatch a suspect content.
 type turn struct {
 	holder *follower
 	since  time.Time
 }
 
-// turns are those that this control server has given.
+// turns are those granted by this control server.
 type turns map[quarantine.Digest]turn
 
-// ask gives the turn to an entry, unless another one has it.
-func (t turns) ask(now time.Time, d quarantine.Digest, f *follower) bool {
-	held, ok := t[d]
-	if ok && held.holder != f && now.Sub(held.since) < turnLimit {
+// acquire grants the turn to an entry, unless another one has it.
+func (t turns) acquire(now time.Time, d quarantine.Digest, f *follower) bool {
+	current, ok := t[d]
+	if ok && current.holder != f && now.Sub(current.since) < turnExpiry {
 		return false
 	}
 	if ok || len(t) < maxTurns {
@@ -40,32 +41,33 @@
 	return true
 }
 
-// end takes the turn back, if this entry has it.
-func (t turns) end(d quarantine.Digest, f *follower) {
+// release releases the turn if this entry has it.
+func (t turns) release(d quarantine.Digest, f *follower) {
 	if t[d].holder == f {
 		delete(t, d)
 	}
 }
 
-// leave takes all turns of an entry back.
-func (t turns) leave(f *follower) {
-	for d, held := range t {
-		if held.holder == f {
+// releaseAll releases all turns of an entry.
+func (t turns) releaseAll(f *follower) {
+	for d, current := range t {
+		if current.holder == f {
 			delete(t, d)
 		}
 	}
 }
 
-// turnMessage handles an entry's word on a turn; false if there is none in the message.
-func (h *hub) turnMessage(f *follower, m *rpc.FollowerMessage) bool {
+// handleTurnMessage handles an entry's request for a turn or its release, and reports whether the
+// message has one.
+func (h *hub) handleTurnMessage(f *follower, m *rpc.FollowerMessage) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
 	case len(m.TurnEnded) == quarantine.DigestSize:
-		h.turns.end(quarantine.Digest(m.TurnEnded), f)
+		h.turns.release(quarantine.Digest(m.TurnEnded), f)
 	case len(m.TurnWanted) == quarantine.DigestSize:
 		d := quarantine.Digest(m.TurnWanted)
-		f.turns = append(f.turns, &rpc.Turn{Digest: d[:], Given: h.turns.ask(clock.Now(), d, f)})
+		f.turns = append(f.turns, &rpc.Turn{Digest: d[:], Given: h.turns.acquire(clock.Now(), d, f)})
 		f.notify()
 	default:
 		return false
--- a/internal/fleetcontrol/writers.go
+++ b/internal/fleetcontrol/writers.go
@@ -12,28 +12,28 @@
 	"lynxgate.dev/lynxgate/internal/ledger"
 )
 
-// Announcements may come from writers that are no backend servers of this fleet. They name
-// no server to use, and change nothing of what is known of others.
+// Announcements may come from senders that are not backend servers of this fleet. They are
+// refused: they add no server and change no record of another one.
 
-// refusedInterval is the least time between two lines about announcements that were
-// refused: a writer may send hundreds a second.
+// refusedInterval is the least time between two log lines about refused announcements: a
+// sender may send hundreds a second.
 const refusedInterval = time.Second
 
-// Why an announcement was refused, as the label of the counter says it.
+// The reasons for a refusal, as values of the counter's label.
 const (
-	whyUnreadable     = "unreadable"
-	whyUnknownService = "unknown_service"
+	reasonUnreadable     = "unreadable"
+	reasonUnknownService = "unknown_service"
 )
 
-// refusals counts announcements that were refused, and tells of some.
+// refusals counts refused announcements, and logs some of them.
 type refusals struct {
 	log   zerolog.Logger
 	count *prometheus.CounterVec
 
-	mu     sync.Mutex
-	toldAt time.Time
-	// untold are those since the last line.
-	untold int
+	mu       sync.Mutex
+	loggedAt time.Time
+	// unlogged counts those since the last log line.
+	unlogged int
 }
 
 func newRefusals(log zerolog.Logger) *refusals {
@@ -42,26 +42,26 @@
 	}, []string{"reason"})}
 }
 
-// maxTold bounds what a line repeats of a refused announcement, in bytes.
-const maxTold = 200
+// maxLoggedBytes bounds each text of a refused announcement in a log line.
+const maxLoggedBytes = 200
 
-func (r *refusals) note(now time.Time, id, reason string, err error) {
+func (r *refusals) add(now time.Time, id, reason string, err error) {
 	r.count.WithLabelValues(reason).Inc()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.toldAt) < refusedInterval {
-		r.untold++
+	if now.Sub(r.loggedAt) < refusedInterval {
+		r.unlogged++
 		return
 	}
-	r.log.Warn().Str("server", short(id)).Str("reason", reason).Str("error", short(err.Error())).Int("untold", r.untold).
-		Msg("announcement names no backend server")
-	r.toldAt, r.untold = now, 0
+	r.log.Warn().Str("server", truncate(id)).Str("reason", reason).Str("error", truncate(err.Error())).Int("untold", r.unlogged).
+		Msg("announcement refused")
+	r.loggedAt, r.unlogged = now, 0
 }
 
-func short(text string) string { return text[:min(len(text), maxTold)] }
+func truncate(text string) string { return text[:min(len(text), maxLoggedBytes)] }
 
-// declaredServices tells which services the operators declare. It reads a document only
-// when it is asked for a service that the one read before does not have.
+// declaredServices knows the services that the operators declare. It decodes a new document
+// only when it is asked for a service that the last decoded one does not have.
 type declaredServices struct {
 	ledger *ledger.Ledger
 	decode func(document []byte) (*fleet.Config, error)
@@ -71,8 +71,8 @@
 	names   map[string]bool
 }
 
-// has tells whether a service is declared, or may be: nothing is known before the first
-// document.
+// has reports whether a service is declared, or may be: before the first document any
+// service may be.
 func (d *declaredServices) has(service string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,7 +85,7 @@
 	}
 	names, err := d.read(state.Config)
 	if err != nil {
-		return true // what can't be read refuses nobody
+		return true // without a decoded document no server is refused
 	}
 	d.version, d.names = state.ConfigVersion, names
 	return names[service]
@@ -107,15 +107,15 @@
 	return names, nil
 }
 
-// mayTell tells whether an announcement is of a server of this fleet: its service is
-// declared, or it has been known with it, as one is that leaves after its service was
-// taken out of the configuration.
-func (h *hub) mayTell(b *fleet.BackendServer) error {
+// checkService returns an error unless an announcement is of a server of this fleet: its
+// service is declared, or the server is already known with it. The latter is so for a server
+// that leaves after its service was removed from the configuration.
+func (h *hub) checkService(b *fleet.BackendServer) error {
 	h.mu.Lock()
 	known := h.servers.Get(b.ID)
 	h.mu.Unlock()
 	switch {
-	case b.Service == "" && b.State == fleet.StateGone: // a leave tells the id only
+	case b.Service == "" && b.State == fleet.StateGone: // a leave contains only the id
 	case known != nil && known.Service == b.Service:
 	case !h.services.has(b.Service):
 		return fmt.Errorf("service %q is not declared", b.Service)
--- a/internal/fleetcontrol/writers_test.go
+++ b/internal/fleetcontrol/writers_test.go
@@ -18,8 +18,8 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// declaring reads documents that are lists of services.
-func declaring(document []byte) (*fleet.Config, error) {
+// decodeServices decodes documents that are lists of services.
+func decodeServices(document []byte) (*fleet.Config, error) {
 	c := &fleet.Config{}
 	for _, name := range strings.Fields(string(document)) {
 		c.Services = append(c.Services, fleet.Service{Name: name})
@@ -27,7 +27,7 @@
 	return c, nil
 }
 
-// counted returns how many announcements were refused for a reason.
+// counted returns how many announcements were refused for this reason.
 func counted(t *testing.T, r *refusals, reason string) (n float64) {
 	t.Helper()
 	registry := prometheus.NewRegistry()
@@ -51,9 +51,9 @@
 	h.ledger.Apply(version, data)
 }
 
-func TestServersOfServicesThatAreNotDeclaredAreNotTakenIn(t *testing.T) {
+func TestAnnouncementsForUndeclaredServicesAreRefused(t *testing.T) {
 	var logs bytes.Buffer
-	h := newHub(ledger.New(time.Now), func() []string { return nil }, time.Second, declaring, zerolog.New(&logs))
+	h := newHub(ledger.New(time.Now), func() []string { return nil }, time.Second, decodeServices, zerolog.New(&logs))
 	s := &Server{hub: h}
 	announce := func(id, service string, seq uint64, state fleet.State) {
 		require.NoError(t, s.Announce(t.Context(), fleet.BackendServer{ID: id, Service: service, Addr: "10.0.0.1:1", Seq: seq, State: state}))
@@ -65,13 +65,13 @@
 	announce("odd", "unknown", 1, fleet.StateReady)
 	assert.Nil(t, h.servers.Get("odd"))
 	announce("a", "unknown", 9, fleet.StateDraining)
-	assert.Equal(t, "drafts", h.servers.Get("a").Service, "nothing is changed of the server whose id it bears")
+	assert.Equal(t, "drafts", h.servers.Get("a").Service, "the record of the server with this id is unchanged")
 	assert.Equal(t, fleet.StateReady, h.servers.Get("a").State)
-	assert.EqualValues(t, 2, counted(t, h.refused, whyUnknownService))
+	assert.EqualValues(t, 2, counted(t, h.refused, reasonUnknownService))
 
 	declare(t, h, 2, "plain")
 	announce("a", "drafts", 2, fleet.StateDraining)
-	assert.Equal(t, fleet.StateDraining, h.servers.Get("a").State, "a server leaves after its service")
+	assert.Equal(t, fleet.StateDraining, h.servers.Get("a").State, "a known server leaves after its service was removed")
 	require.NoError(t, s.Announce(t.Context(), fleet.BackendServer{ID: "a", State: fleet.StateGone}))
 	assert.Equal(t, fleet.StateGone, h.servers.Get("a").State)
 	declare(t, h, 3, "plain unknown")
@@ -79,23 +79,23 @@
 	assert.NotNil(t, h.servers.Get("odd"), "it is declared now")
 }
 
-func TestLinesAboutRefusedAnnouncementsAreBounded(t *testing.T) {
+func TestLogOfRefusedAnnouncementsIsBounded(t *testing.T) {
 	var logs bytes.Buffer
 	r := newRefusals(zerolog.New(&logs))
 	at := time.Unix(1000, 0)
 	for range 100 {
-		r.note(at, strings.Repeat("x", 5000), whyUnreadable, errors.New(strings.Repeat("y", 5000)))
+		r.add(at, strings.Repeat("x", 5000), reasonUnreadable, errors.New(strings.Repeat("y", 5000)))
 	}
-	r.note(at.Add(refusedInterval), "i", whyUnreadable, errors.New("odd"))
+	r.add(at.Add(refusedInterval), "i", reasonUnreadable, errors.New("odd"))
 	lines := strings.Split(strings.TrimSpace(logs.String()), "\n")
 	require.Len(t, lines, 2)
 	assert.Less(t, len(lines[0]), 1000)
 	assert.Contains(t, lines[1], `"untold":99`)
-	assert.EqualValues(t, 101, counted(t, r, whyUnreadable))
+	assert.EqualValues(t, 101, counted(t, r, reasonUnreadable))
 }
 
-func TestAgentsGetServicesAndOnlyWhenTheyChange(t *testing.T) {
-	h := newHub(ledger.New(time.Now), func() []string { return nil }, time.Second, declaring, zerolog.Nop())
+func TestAgentsGetOnlyServicesAndOnlyWhenTheyChange(t *testing.T) {
+	h := newHub(ledger.New(time.Now), func() []string { return nil }, time.Second, decodeServices, zerolog.Nop())
 	agent, entry := h.join(&rpc.FollowerMessage{Name: "a", Role: RoleAgent}), h.join(&rpc.FollowerMessage{Name: "e", Role: RoleEntry})
 	declare(t, h, 3, "drafts plain")
 	u := h.next(agent)
@@ -117,10 +117,10 @@
 	late := h.join(&rpc.FollowerMessage{Name: "b", Role: RoleAgent})
 	assert.EqualValues(t, 6, h.next(late).ConfigVersion)
 
-	// Another control server told this agent of a version that was not read here.
+	// This agent got a version from another control server that was not decoded here.
 	declare(t, h, 9, "drafts plain more")
 	other := h.join(&rpc.FollowerMessage{Name: "c", Role: RoleAgent})
-	h.acknowledged(other, &rpc.FollowerMessage{ConfigVersion: 8})
+	h.acknowledge(other, &rpc.FollowerMessage{ConfigVersion: 8})
 	other.configAt = other.configAt.Add(-time.Minute)
-	assert.EqualValues(t, 9, h.next(other).ConfigVersion, "its services may be others")
+	assert.EqualValues(t, 9, h.next(other).ConfigVersion, "its services may differ")
 }
