--- a/internal/fleetdaemon/agent.go
+++ b/internal/fleetdaemon/agent.go
@@ -13,12 +13,13 @@
 	"lynxgate.dev/lynxgate/internal/staging"
 )
 
-// agentFollows is how many control servers an agent follows: it needs what is
-// committed, which one of them is enough for, and the other guards against one that
-// is cut off. All agents following all of them would be most of the streams.
+// agentFollows is how many control servers an agent follows. One is enough for the
+// committed state that agents need; the second one guards against a control server that
+// is partitioned from the others. If all agents followed all control servers, this
+// would be most of the streams.
 const agentFollows = 2
 
-// agentRole stages weights on the engine beside it.
+// agentRole stages weights on the engine of its VM.
 type agentRole struct {
 	stager *staging.Stager
 	client *follow.Client
--- a/internal/fleetdaemon/control.go
+++ b/internal/fleetdaemon/control.go
@@ -19,24 +19,24 @@
 	"lynxgate.dev/lynxgate/internal/replica"
 )
 
-// Timing of the replicated log: a leader that is lost is replaced within about a
-// second, so that a change is accepted within the second that operators wait, or
-// at their next try.
+// Timing of the replicated log: a failed leader is replaced within about a second, so
+// that a change is accepted within the second that operators wait, or when they
+// retry.
 const (
 	tickInterval    = 50 * time.Millisecond
 	electionTicks   = 10
 	heartbeatTicks  = 2
 	snapshotEntries = 400
-	// retireAfter is longer than a restart or a cut of some seconds.
+	// retireAfter is longer than a restart or a network partition of some seconds.
 	retireAfter = 6 * time.Second
-	// spareAfter leaves an election within the 4 s after which a removed server's
-	// successor is as good as it was (bounds.catchUpS).
+	// spareAfter leaves time for an election within the 4 s after which the replacement
+	// of a removed server counts as a full member (bounds.catchUpS).
 	spareAfter = 2 * time.Second
-	// openRetry is the pause between tries to open a data folder.
-	openRetry = 300 * time.Millisecond
+	// openRetryPause is the pause between attempts to open a data folder.
+	openRetryPause = 300 * time.Millisecond
 )
 
-// controlRole is a control server with its operators' API.
+// controlRole is a control server with the API for operators.
 type controlRole struct {
 	server *fleetcontrol.Server
 	http   *http.Server
@@ -58,40 +58,40 @@
 	}}, nil
 }
 
-// openControl opens the log, again and again while the disk refuses. A data folder
-// that is damaged is given up: the server joins as a new one, which the protocol
-// treats like a lost disk.
+// openControl opens the log, and retries while the disk returns errors. It deletes the
+// contents of a corrupt data folder: the server then joins as a new one, which the
+// protocol treats like the loss of a disk.
 func openControl(stop context.Context, cfg *Config) (*fleetcontrol.Server, error) {
 	for {
-		found, err := mayFound(cfg.Control)
+		bootstrap, err := mayBootstrap(cfg.Control)
 		var server *fleetcontrol.Server
 		if err == nil {
-			server, err = fleetcontrol.New(controlConfig(cfg, found))
+			server, err = fleetcontrol.New(controlConfig(cfg, bootstrap))
 		}
 		if err == nil {
 			return server, nil
 		}
-		cfg.Logger.Error().Err(err).Msg("control server not started; trying again")
+		cfg.Logger.Error().Err(err).Msg("control server not started; retrying")
 		var corrupt *raftlog.CorruptError
 		if errors.As(err, &corrupt) {
 			if err := clearFolder(cfg.Control.DataFolder); err != nil {
-				cfg.Logger.Error().Err(err).Msg("damaged data folder not cleared")
+				cfg.Logger.Error().Err(err).Msg("corrupt data folder not cleared")
 			}
 		}
 		select {
-		case <-time.After(openRetry):
+		case <-time.After(openRetryPause):
 		case <-stop.Done():
 			return nil, err
 		}
 	}
 }
 
-// firstStartFile marks a data folder that was made at the first start of the whole
-// system: its server may go on founding the cluster after a crash.
+// firstStartFile marks a data folder that was created at the first start of the whole
+// system: its server may resume the bootstrap of the cluster after a crash.
 const firstStartFile = "first-start"
 
-// mayFound tells whether this server may found the cluster.
-func mayFound(c *ControlConfig) (bool, error) {
+// mayBootstrap reports whether this server may bootstrap the cluster.
+func mayBootstrap(c *ControlConfig) (bool, error) {
 	path := filepath.Join(c.DataFolder, firstStartFile)
 	if !c.FirstStart {
 		_, err := os.Stat(path)
@@ -116,12 +116,12 @@
 	return nil
 }
 
-func controlConfig(cfg *Config, found bool) fleetcontrol.Config {
+func controlConfig(cfg *Config, bootstrap bool) fleetcontrol.Config {
 	c := cfg.Control
 	r := replica.Config{
 		Name: c.Member, Addr: cfg.RPCAddr, Dir: c.DataFolder,
 		TickInterval: tickInterval, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks,
-		SnapshotEntries: snapshotEntries, JoinOnly: !found, AdmitNewcomers: true,
+		SnapshotEntries: snapshotEntries, JoinOnly: !bootstrap, AdmitNewcomers: true,
 		RetireAfter: retireAfter, SpareAfter: spareAfter, LostDisks: c.LostDisks, RetryDisk: true, Logger: cfg.Logger,
 	}
 	for name, addr := range c.Peers() {
@@ -142,5 +142,5 @@
 	return errors.Join(err, <-httpDone)
 }
 
-// leave hands leadership over while calls are still taken, then ends.
+// leave transfers leadership while calls are still served, and stops the log.
 func (r *controlRole) leave(ctx context.Context) error { return r.server.Stop(ctx) }
--- a/internal/fleetdaemon/daemon.go
+++ b/internal/fleetdaemon/daemon.go
@@ -2,8 +2,8 @@
 // announce themselves and are called directly: an entry, a control server, an
 // agent, or several of them. The adapter to a platform fills in the Config.
 //
-// State: none beside the roles. On a stop every role first refuses new work and
-// says so, then finishes what is in progress.
+// State: none besides the roles. On a stop every role first refuses new work and
+// announces that it leaves, then finishes the work in progress.
 package fleetdaemon
 
 import (
@@ -29,26 +29,27 @@
 	"lynxgate.dev/lynxgate/internal/staging"
 )
 
-// Config is what a process is told. Addresses are ip:port; a role without its
-// addresses is not taken on.
+// Config is the configuration of a process. Addresses are ip:port. The process has the
+// roles whose configuration is not nil.
 type Config struct {
 	Name string
 	Zone string
-	// RPCAddr is for calls between daemons, as others are told it; ListenAddr is where
-	// these calls are listened for, MetricsAddr for metrics.
+	// RPCAddr is the advertised address for calls between daemons, ListenAddr the one
+	// on which the process listens for them, MetricsAddr the one for metrics.
 	RPCAddr     string
 	ListenAddr  string
 	MetricsAddr string
-	// Seeds returns rpc addresses of control servers, as of now.
+	// Seeds returns the current rpc addresses of control servers.
 	Seeds func() []string
 	// Grace is how long a stop may take.
 	Grace time.Duration
-	// Decode reads the operators' document.
+	// Decode decodes the operators' document.
 	Decode func(document []byte) (*fleet.Config, error)
-	// VersionBound is how long a version may take to be in use everywhere.
+	// VersionBound is the time within which a version of weights must be in use
+	// everywhere.
 	VersionBound time.Duration
 	// AnnounceInterval is the time between two announcements of a backend server, 0
-	// if it isn't known.
+	// if it is not known.
 	AnnounceInterval time.Duration
 	Entry            *EntryConfig
 	Control          *ControlConfig
@@ -58,11 +59,11 @@
 	DroppedLines func() int64
 }
 
-// EntryConfig is of an entry.
+// EntryConfig is the configuration of an entry.
 type EntryConfig struct {
 	CallersAddr string
 	ReadyAddr   string
-	// MountReady adds the call of the balancer in front.
+	// MountReady adds the readiness check for the load balancer in front of the entries.
 	MountReady  func(mux *http.ServeMux, ready func() (string, bool))
 	Headers     gateway.Headers
 	RetryShare  float64
@@ -70,22 +71,23 @@
 	RetryWindow time.Duration
 }
 
-// ControlConfig is of a control server.
+// ControlConfig is the configuration of a control server.
 type ControlConfig struct {
-	// OperatorsAddr is for operators and backend servers; Mount adds their calls.
+	// OperatorsAddr is for operators and backend servers; Mount adds their API.
 	OperatorsAddr string
 	Mount         func(e *echo.Echo, s *fleetcontrol.Server)
 	DataFolder    string
-	// FirstStart allows to found the cluster.
+	// FirstStart allows this server to bootstrap the cluster.
 	FirstStart bool
 	// LostDisks is how many control servers may lose their disks at once.
 	LostDisks int
-	// Member names this server in the log; Peers are the founders by name.
+	// Member is the name of this server in the log. Peers returns the addresses of the
+	// initial members by name.
 	Member string
 	Peers  func() map[string]string
 }
 
-// AgentConfig is of an agent.
+// AgentConfig is the configuration of an agent.
 type AgentConfig struct {
 	EngineAddr string
 	Service    string
@@ -93,15 +95,16 @@
 	LinkMbps float64
 	Engine   staging.Engine
 	Origin   staging.Origin
-	// PeerAddr returns the rpc address of the agent beside a backend server.
+	// PeerAddr returns the rpc address of the agent on the VM of a backend server.
 	PeerAddr func(serverAddr string) string
 }
 
-// role is one duty of the process.
+// role is one role of the process: entry, control server or agent.
 type role interface {
 	register(mux *drpcmux.Mux) error
 	run(ctx context.Context) error
-	// leave finishes work in progress until ctx is done.
+	// leave announces that the role leaves, and finishes work in progress until ctx is
+	// done.
 	leave(ctx context.Context) error
 }
 
@@ -122,8 +125,8 @@
 			return fmt.Errorf("register services: %w", err)
 		}
 	}
-	running, end := context.WithCancel(context.Background())
-	defer end()
+	running, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	group, ctx := errgroup.WithContext(running)
 	group.Go(func() error { return serveMetrics(ctx, cfg.MetricsAddr, registry) })
 	if cfg.Control != nil || cfg.Agent != nil {
@@ -145,7 +148,7 @@
 	case <-ctx.Done():
 	}
 	leaveErr := leave(&cfg, roles)
-	end()
+	cancel()
 	return errors.Join(leaveErr, ignoreCanceled(group.Wait()))
 }
 
@@ -170,7 +173,8 @@
 	return roles, nil
 }
 
-// graceMargin is the part of the grace period left for the end of the process.
+// graceMargin is the part of the grace period that is reserved for the exit of the
+// process.
 const graceMargin = 400 * time.Millisecond
 
 func leave(cfg *Config, roles []role) error {
@@ -191,7 +195,8 @@
 	return serveHTTP(ctx, server)
 }
 
-// headerTimeout bounds the head of a request where no other limit is known.
+// headerTimeout bounds the time to read the header of a request where no other limit is
+// configured.
 const headerTimeout = 3 * time.Second
 
 // serveHTTP serves until ctx is done.
--- a/internal/fleetdaemon/entry.go
+++ b/internal/fleetdaemon/entry.go
@@ -21,17 +21,18 @@
 )
 
 const (
-	// idleTimeout is longer than callers leave a connection idle; those that
-	// are too many are bounded by the descriptors.
+	// idleTimeout is longer than callers leave a connection idle. The number of
+	// connections is bounded by the limit of file descriptors.
 	idleTimeout = 75 * time.Second
-	// headBytes bounds the head of a request; the configured limit is less.
-	headBytes = 64 << 10
-	// acceptAfterLeave is how long a stopping entry takes new connections: the
-	// balancer in front asks once a second and needs two misses.
+	// maxHeaderBytes bounds the header of a request; the configured limit is lower.
+	maxHeaderBytes = 64 << 10
+	// acceptAfterLeave is how long a stopping entry accepts new connections: the load
+	// balancer in front checks readiness once a second, and removes an entry after two
+	// failed checks.
 	acceptAfterLeave = 2600 * time.Millisecond
 )
 
-// entryRole serves callers.
+// entryRole serves the callers' requests.
 type entryRole struct {
 	gateway *gateway.Gateway
 	client  *follow.Client
@@ -43,7 +44,7 @@
 func newEntryRole(cfg *Config, registry prometheus.Registerer) *entryRole {
 	e := cfg.Entry
 	var client *follow.Client
-	turns := &lateTurns{client: &client}
+	turns := &clientTurns{client: &client}
 	g := gateway.New(gateway.Config{
 		Headers:    e.Headers,
 		Balance:    balance.Config{Name: cfg.Name, Zone: cfg.Zone, VersionBound: cfg.VersionBound, Logger: cfg.Logger},
@@ -60,30 +61,32 @@
 	client = follow.New(following)
 	ready := http.NewServeMux()
 	e.MountReady(ready, g.Ready)
-	quiet := log.New(io.Discard, "", 0) // broken connections of callers are counted, not told
+	discard := log.New(io.Discard, "", 0) // broken connections of callers are counted, not logged
 	return &entryRole{
 		gateway: g,
 		log:     cfg.Logger,
 		client:  client,
 		callers: &http.Server{
-			Addr: e.CallersAddr, Handler: g, ErrorLog: quiet,
-			ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headBytes,
+			Addr: e.CallersAddr, Handler: g, ErrorLog: discard,
+			ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		},
-		ready: &http.Server{Addr: e.ReadyAddr, Handler: ready, ReadHeaderTimeout: headerTimeout, ErrorLog: quiet},
+		ready: &http.Server{Addr: e.ReadyAddr, Handler: ready, ReadHeaderTimeout: headerTimeout, ErrorLog: discard},
 	}
 }
 
-// lateTurns asks a client that is made after the gateway: the client tells the gateway's viewer
-// of updates, and the gateway asks the client for turns.
-type lateTurns struct{ client **follow.Client }
+// clientTurns acquires turns from a client that is created after the gateway. The two depend on
+// each other: the client passes updates to the gateway's viewer, and the gateway acquires turns
+// from the client.
+type clientTurns struct{ client **follow.Client }
 
-func (t *lateTurns) AskTurn(ctx context.Context, d quarantine.Digest) bool {
+func (t *clientTurns) AskTurn(ctx context.Context, d quarantine.Digest) bool {
 	return (*t.client).AskTurn(ctx, d)
 }
 
-func (t *lateTurns) EndTurn(d quarantine.Digest) { (*t.client).EndTurn(d) }
+func (t *clientTurns) EndTurn(d quarantine.Digest) { (*t.client).EndTurn(d) }
 
-// followerConfig is of a daemon that follows the control servers for a viewer.
+// followerConfig returns the configuration of a client that follows the control servers
+// for a viewer.
 func followerConfig(cfg *Config, role string, viewer *follow.Viewer) follow.Config {
 	return follow.Config{
 		Name: cfg.Name, Zone: cfg.Zone, Role: role, Seeds: cfg.Seeds,
@@ -102,8 +105,8 @@
 	return group.Wait()
 }
 
-// leave says that the entry is not ready, lets the balancer notice, and ends once
-// the requests in progress have ended.
+// leave reports the entry as not ready, accepts connections until the load balancer has
+// removed it, and then waits for the requests in progress.
 func (r *entryRole) leave(ctx context.Context) error {
 	r.gateway.Leave()
 	timer := time.NewTimer(acceptAfterLeave)
@@ -113,10 +116,10 @@
 	case <-ctx.Done():
 		return nil
 	}
-	// Idle connections are closed now: a request that came later on one of them
-	// might not end within the grace period.
+	// Shutdown closes idle connections: a later request on one of them might not
+	// complete within the grace period.
 	if err := r.callers.Shutdown(ctx); err != nil {
-		r.log.Warn().Int64("requests", r.gateway.InFlight()).Msg("grace period is over; requests in progress are cut")
+		r.log.Warn().Int64("requests", r.gateway.InFlight()).Msg("grace period is over; requests in progress are aborted")
 	}
 	return nil
 }
