--- a/internal/outcome/http.go
+++ b/internal/outcome/http.go
@@ -16,12 +16,13 @@
 	Type    Reason `json:"type"`
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
-	// RetryAfterMS is 0 when there is no advice.
+	// RetryAfterMS is 0 when no retry delay is suggested.
 	RetryAfterMS int64 `json:"retry_after_ms"`
 }
 
-// statusOf holds the statuses of reasons that certainly did not run.
-var statusOf = map[Reason]int{
+// notRunStatus maps reasons to HTTP statuses for requests that certainly did
+// not run. The default is 503.
+var notRunStatus = map[Reason]int{
 	InvalidRequest:     http.StatusBadRequest,
 	MissingKey:         http.StatusBadRequest,
 	Unauthorized:       http.StatusUnauthorized,
@@ -37,25 +38,24 @@
 	BackendRefused:     http.StatusBadGateway,
 }
 
-// unknownStatusOf holds the statuses of reasons that may have run.
-var unknownStatusOf = map[Reason]int{
+// unknownStatus maps reasons to HTTP statuses for requests that may have run.
+// The default is 502.
+var unknownStatus = map[Reason]int{
 	KeyInProgress:    http.StatusConflict,
 	ClaimUnknown:     http.StatusConflict,
 	DeadlineExceeded: http.StatusGatewayTimeout,
 }
 
-// Status returns the HTTP status of an outcome that is not completed. 503 is
-// given only to requests that certainly did not run, since proxies and client
-// libraries repeat a 503 by themselves; the default for a request that may
-// have run is 502.
+// Status returns the HTTP status of an outcome. A request that may have run
+// never gets a 503, since proxies and client libraries retry a 503 on their own.
 func (o Outcome) Status() int {
 	switch o.Kind {
 	case Completed:
 		return http.StatusOK
 	case NotRun:
-		return lookup(statusOf, o.Reason, http.StatusServiceUnavailable)
+		return lookup(notRunStatus, o.Reason, http.StatusServiceUnavailable)
 	default:
-		return lookup(unknownStatusOf, o.Reason, http.StatusBadGateway)
+		return lookup(unknownStatus, o.Reason, http.StatusBadGateway)
 	}
 }
 
@@ -67,7 +67,7 @@
 }
 
 // RetryAfterHeader returns the value of the Retry-After header: whole
-// seconds, rounded up, at least 1. It is empty when there is no advice.
+// seconds, rounded up, at least 1. It is empty when no retry delay is suggested.
 func (o Outcome) RetryAfterHeader() string {
 	if o.RetryAfter <= 0 {
 		return ""
@@ -86,7 +86,7 @@
 		RetryAfterMS: ceilMillis(o.RetryAfter),
 	}})
 	if err != nil {
-		panic("outcome: error body does not marshal: " + err.Error())
+		panic("outcome: marshal error body: " + err.Error())
 	}
 	return body
 }
@@ -109,7 +109,7 @@
 }
 
 // Write sends the outcome as an HTTP error answer. It must be called before
-// anything else was written.
+// anything else is written.
 func (o Outcome) Write(w http.ResponseWriter) error {
 	w.Header().Set("Content-Type", "application/json")
 	if after := o.RetryAfterHeader(); after != "" {
@@ -120,8 +120,8 @@
 	return err
 }
 
-// Event returns the outcome as a last server-sent event, for an answer that
-// was cut after its head had been sent. It is never followed by [DONE].
+// Event returns the outcome as the final server-sent event of a stream that
+// failed after its header was sent. It is never followed by [DONE].
 func (o Outcome) Event() []byte {
 	event := append([]byte("event: error\ndata: "), o.Body()...)
 	return append(event, "\n\n"...)
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,6 +1,6 @@
 // Package outcome defines how a request ended: completed, not run, or
 // unknown. Outcomes are values, not errors; the package also maps them to the
-// HTTP answer that a caller sees. It keeps no state.
+// HTTP answer that a caller receives. It keeps no state.
 package outcome
 
 import (
@@ -11,18 +11,18 @@
 // Kind is how a request ended.
 type Kind uint8
 
-// The kinds of outcome. The zero value is Unknown: an outcome that nobody
-// filled in must not pass for a certain one.
+// The kinds of outcome. The zero value is Unknown, so that an unset outcome is
+// not mistaken for a certain one.
 const (
 	// Unknown means the request may have run.
 	Unknown Kind = iota
 	// NotRun means it is certain that the request did not run.
 	NotRun
-	// Completed means the whole answer is there.
+	// Completed means the whole answer was received.
 	Completed
 )
 
-// String returns the kind as written in answers and metric labels.
+// String returns the kind as used in error bodies and metric labels.
 func (k Kind) String() string {
 	switch k {
 	case NotRun:
@@ -39,7 +39,7 @@
 
 // The reasons; they appear as "type" in error bodies and as metric labels.
 const (
-	// Refused before anything was dispatched, by the caller's own fault.
+	// Refused before dispatch because of the request or the caller's limits.
 	InvalidRequest     Reason = "invalid_request"
 	Unauthorized       Reason = "unauthorized"
 	NotFound           Reason = "not_found"
@@ -51,7 +51,7 @@
 	RateLimited        Reason = "rate_limited"
 	ConcurrencyLimited Reason = "concurrency_limited"
 	TokensLimited      Reason = "token_budget_exhausted"
-	// Refused or given up on by the system.
+	// Refused or given up by the system.
 	Overloaded       Reason = "overloaded"
 	NoBackend        Reason = "no_backend_server"
 	NoConfiguration  Reason = "no_configuration"
@@ -63,7 +63,7 @@
 	Cancelled        Reason = "cancelled"
 	BackendFailed    Reason = "backend_failed"
 	BackendRefused   Reason = "backend_refused"
-	// Ends of a request that may have run.
+	// Failed although the request may have run.
 	AnswerCut       Reason = "answer_cut"
 	AnswerCorrupt   Reason = "answer_corrupt"
 	ConnectionLost  Reason = "connection_lost"
@@ -71,18 +71,18 @@
 	AnswerNotStored Reason = "answer_not_stored"
 )
 
-// Outcome is the end of one request or of one attempt at it.
+// Outcome is the result of one request or of one attempt at it.
 type Outcome struct {
 	Kind   Kind
 	Reason Reason
-	// Detail is a sentence for people; it must hold nothing of another
-	// organisation's.
+	// Detail is the human-readable message of the error body. It must not
+	// contain data of another organisation.
 	Detail string
-	// RetryAfter says when it makes sense to come back; 0 gives no advice.
+	// RetryAfter is the suggested delay before a client retry; 0 suggests none.
 	RetryAfter time.Duration
 }
 
-// Done returns the outcome of a request whose whole answer is there.
+// Done returns the outcome of a request whose whole answer was received.
 func Done() Outcome { return Outcome{Kind: Completed} }
 
 // Not returns the outcome of a request that certainly did not run.
@@ -95,8 +95,8 @@
 	return Outcome{Kind: Unknown, Reason: reason, Detail: detail}
 }
 
-// Worse combines the outcomes of two attempts at one request: if either may
-// have run, the request may have run. A completed attempt wins.
+// Worse combines the outcomes of two attempts at one request: completed if
+// either is, otherwise unknown if either may have run.
 func Worse(a, b Outcome) Outcome {
 	if a.Kind == Completed || b.Kind == Completed {
 		return Done()
@@ -107,7 +107,7 @@
 	return b
 }
 
-// String describes the outcome for logs.
+// String formats the outcome for logs.
 func (o Outcome) String() string {
 	if o.Kind == Completed {
 		return o.Kind.String()
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -41,8 +41,8 @@
 	require.Equal(t, "event: error\ndata: "+string(Done().Body())+"\n\n", string(Done().Event()))
 }
 
-func TestWorseNeverHidesAPossibleRun(t *testing.T) {
-	require.Equal(t, Unknown, Outcome{}.Kind, "nothing known is not certain")
+func TestWorseKeepsUnknown(t *testing.T) {
+	require.Equal(t, Unknown, Outcome{}.Kind, "the zero value is not a certain outcome")
 	not, may := Not(Leaving, "", 0), May(ConnectionLost, "")
 	require.Equal(t, may, Worse(not, may))
 	require.Equal(t, may, Worse(may, not))
