--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -1,5 +1,5 @@
-// Package headers chooses the header fields of a request or an answer that go
-// through a proxy, for messages of package rpc.
+// Package headers selects the header fields of a request or an answer that a
+// proxy forwards, and converts them to messages of package rpc.
 package headers
 
 import (
@@ -8,20 +8,21 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// ofOneConnection are the fields, by canonical name, that are meant for one
-// connection (RFC 9110, 7.6.1), and Content-Length: bodies are framed anew.
-var ofOneConnection = map[string]bool{
+// hopByHop contains the canonical names of the fields that concern a single
+// connection (RFC 9110, 7.6.1), and Content-Length, since each hop frames the
+// body itself.
+var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Content-Length": true,
 }
 
-// Passed returns the fields to pass on: all but those of one connection and those
-// withheld, which are canonical names. Their order is not fixed.
+// Passed returns the fields to forward: all but the hop-by-hop fields and those
+// in withheld, which has canonical names. The order of the fields is not fixed.
 func Passed(h http.Header, withheld map[string]bool) []*rpc.Header {
 	var out []*rpc.Header
 	for name, values := range h {
-		if ofOneConnection[name] || withheld[name] {
+		if hopByHop[name] || withheld[name] {
 			continue
 		}
 		for _, value := range values {
