--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -12,21 +12,23 @@
 	"lynxgate.dev/lynxgate/internal/quarantine"
 )
 
-// heldReasons are what callers are told whose work is not sent.
-var heldReasons = map[quarantine.Verdict]string{
+// quarantineReasons are the messages for callers whose request is not dispatched because of its
+// content, by verdict.
+var quarantineReasons = map[quarantine.Verdict]string{
 	quarantine.Held:      "backend servers ended under this request",
 	quarantine.Unsettled: "backend servers ended under this request, and others beside",
 	quarantine.Suspect:   "a backend server ended under this request, and a copy of it runs",
 }
 
-// admit tells whether the call's work may be sent to a server now. Work that was at a
-// server that ended is sent once at a time; work that several have ended under is not sent, and
-// gets its final answer at once. The call has ended if it returns false.
+// admit reports whether the request may be dispatched now as far as its content is concerned.
+// Suspect content, which was in flight at a server that crashed, has one attempt at a time;
+// quarantined content, under which several servers crashed, is refused at once. If admit returns
+// false, the call has been answered.
 func (c *call) admit(ctx context.Context) bool {
-	if !c.g.suspects.any.Load() {
+	if !c.g.suspects.nonEmpty.Load() {
 		return true
 	}
-	waitUntil := clock.Now().Add(turnWait)
+	waitUntil := clock.Now().Add(maxTurnWait)
 	for {
 		verdict, ended := c.g.suspects.verdict(clock.Now(), c.digest())
 		var change <-chan struct{}
@@ -34,81 +36,81 @@
 		case quarantine.Free:
 			return true
 		case quarantine.Held:
-			c.holdBack(verdict, ended)
+			c.refuseSuspect(verdict, ended)
 			return false
 		case quarantine.Suspect:
 			if c.hasTurn {
 				return true
 			}
-			if c.hasTurn, change = c.g.suspects.turn(ctx, c.digest()); c.hasTurn {
-				continue // what ended before this turn may be known by now
+			if c.hasTurn, change = c.g.suspects.takeTurn(ctx, c.digest()); c.hasTurn {
+				continue // crashes before this turn may be known by now
 			}
 		}
-		if !clock.Now().Before(waitUntil) || !c.waitFor(ctx, change) {
-			c.holdBack(verdict, ended)
+		if !clock.Now().Before(waitUntil) || !c.waitForChange(ctx, change) {
+			c.refuseSuspect(verdict, ended)
 			return false
 		}
 	}
 }
 
-// waitFor waits for a change, or a while if there is none to wait for; false if the call
-// has no time left.
-func (c *call) waitFor(ctx context.Context, change <-chan struct{}) bool {
-	if clock.Until(c.by) < leastSend+settlePause {
+// waitForChange waits until change is closed or suspectRecheckInterval has passed. It returns false if
+// the call has no time left.
+func (c *call) waitForChange(ctx context.Context, change <-chan struct{}) bool {
+	if clock.Until(c.deadline) < minAttemptTime+suspectRecheckInterval {
 		return false
 	}
 	select {
 	case <-change:
-	case <-time.After(settlePause):
+	case <-time.After(suspectRecheckInterval):
 	case <-ctx.Done():
 		return false
 	}
 	return true
 }
 
-// holdBack ends a call whose work is not sent, or not again.
-func (c *call) holdBack(verdict quarantine.Verdict, ended []string) {
-	c.g.cfg.Metrics.heldBack.WithLabelValues(verdict.String()).Inc()
+// refuseSuspect ends a call whose content is suspect or quarantined without a further attempt.
+func (c *call) refuseSuspect(verdict quarantine.Verdict, ended []string) {
+	c.g.cfg.Metrics.suspectRefusals.WithLabelValues(verdict.String()).Inc()
 	c.endedServers = ended
-	c.neverBack = verdict == quarantine.Held
-	c.giveUp(heldReasons[verdict])
+	c.noRetryAfter = verdict == quarantine.Held
+	c.giveUp(quarantineReasons[verdict])
 }
 
-// suspect tells whether anything counts against the call's work.
-func (c *call) suspect() bool {
-	if !c.g.suspects.any.Load() {
+// isSuspect reports whether the request's content is suspect or quarantined.
+func (c *call) isSuspect() bool {
+	if !c.g.suspects.nonEmpty.Load() {
 		return false
 	}
 	verdict, _ := c.g.suspects.verdict(clock.Now(), c.digest())
 	return verdict != quarantine.Free
 }
 
-// noteEnd finds out, after a send that broke off, whether its server has ended.
-func (c *call) noteEnd(s *balance.Server, err error) {
-	if !brokeOff(err) || c.g.balancer.Leaving(s) || !c.g.suspects.hasEnded(s) {
+// noteCrash records a crash if the server of a failed attempt turns out to be down.
+func (c *call) noteCrash(s *balance.Server, err error) {
+	if !connectionLost(err) || c.g.balancer.Leaving(s) || !c.g.suspects.hasCrashed(s) {
 		return
 	}
-	c.g.suspects.endedUnder(clock.Now(), s.Start, c.digest(), c.hasTurn)
+	c.g.suspects.recordCrash(clock.Now(), s.Start, c.digest(), c.hasTurn)
 }
 
-// brokeOff tells whether a connection was closed by its peer, or by the peer's VM: bytes that
-// are no answer, or none in time, tell nothing of an end.
-func brokeOff(err error) bool {
+// connectionLost reports whether an error means that the peer or its VM closed the connection. A
+// malformed answer or a timeout is no sign of a crash.
+func connectionLost(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// clear notes that the call's work was answered in full.
-func (c *call) clear() {
-	if c.g.suspects.any.Load() {
-		c.g.suspects.served(clock.Now(), c.digest())
+// clearSuspicion records that the request was answered in full.
+func (c *call) clearSuspicion() {
+	if c.g.suspects.nonEmpty.Load() {
+		c.g.suspects.recordAnswer(clock.Now(), c.digest())
 	}
 }
 
-// giveTurnBack lets another call run the same work.
-func (c *call) giveTurnBack() {
+// endTurn lets another call dispatch the same suspect content.
+func (c *call) endTurn() {
 	if c.hasTurn {
-		c.g.suspects.giveTurnBack(c.digest())
+		c.g.suspects.endTurn(c.digest())
 		c.hasTurn = false
 	}
 }
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -14,9 +14,9 @@
 	"lynxgate.dev/lynxgate/internal/quarantine"
 )
 
-// endsUnder crashes its server under requests to this path: the listener is closed, and so
-// are all connections.
-func endsUnder(t testing.TB, id, path string) *backend {
+// crashesUnder returns a backend that crashes on requests to this path: it closes its listener and
+// all connections.
+func crashesUnder(t testing.TB, id, path string) *backend {
 	var b *backend
 	ready := make(chan struct{})
 	b = newBackend(t, id, func(w http.ResponseWriter, r *http.Request) {
@@ -36,42 +36,42 @@
 	return quarantine.DigestOf("org", http.MethodPost, "h", path, []byte("body"))
 }
 
-func (e *entry) holdBack(path string) {
+func (e *entry) quarantineContent(path string) {
 	now := time.Now()
 	e.Suspected([]quarantine.News{{Digest: e.contentOf(path), Server: "s-1", At: now}, {Digest: e.contentOf(path), At: now}})
 }
 
-func TestWorkThatIsHeldGetsItsFinalAnswerAtOnce(t *testing.T) {
+func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	b := newBackend(t, "b-1", good)
 	e := newEntry(t, b)
-	e.holdBack("/unsafe/x")
+	e.quarantineContent("/unsafe/x")
 	began := time.Now()
 	a := e.ask(t, http.MethodPost, "/unsafe/x")
 	assert.Less(t, time.Since(began), 100*time.Millisecond)
 	assert.Equal(t, http.StatusServiceUnavailable, a.status, "it has not run")
-	assert.Empty(t, a.head.Get("Retry-After"), "it is not asked to come again")
-	assert.Contains(t, a.body, heldReasons[quarantine.Held])
+	assert.Empty(t, a.head.Get("Retry-After"), "no client retry is suggested")
+	assert.Contains(t, a.body, quarantineReasons[quarantine.Held])
 	assert.Empty(t, b.requests())
 	assert.Contains(t, e.logs.String(), `"ended_servers":["s-1"]`)
-	assert.Equal(t, http.StatusOK, e.ask(t, http.MethodPost, "/unsafe/y").status, "other work is served")
+	assert.Equal(t, http.StatusOK, e.ask(t, http.MethodPost, "/unsafe/y").status, "other content is served")
 	other := e.ask(t, http.MethodPost, "/unsafe/x", func(r *http.Request) {
 		r.Body, r.ContentLength = http.NoBody, 0
 	})
-	assert.Equal(t, http.StatusOK, other.status, "another body is other work")
+	assert.Equal(t, http.StatusOK, other.status, "another body is other content")
 }
 
-// TestRequestThatEndsThreeServersIsHeld sends it to servers that end under it: the third end is
-// the last one.
-func TestRequestThatEndsThreeServersIsHeld(t *testing.T) {
+// TestRequestIsQuarantinedAfterThreeCrashes sends a request to servers that crash on it: no more than
+// three may crash.
+func TestRequestIsQuarantinedAfterThreeCrashes(t *testing.T) {
 	var backends []*backend
 	for _, id := range []string{"b-1", "b-2", "b-3", "b-4", "b-5"} {
-		backends = append(backends, endsUnder(t, id, "/stream/x"))
+		backends = append(backends, crashesUnder(t, id, "/stream/x"))
 	}
 	e := newEntry(t, backends...)
 	e.onlyEngines()
 	var told []quarantine.News
 	var mu sync.Mutex
-	e.suspects.tell = func(news []quarantine.News) {
+	e.suspects.publish = func(news []quarantine.News) {
 		mu.Lock()
 		defer mu.Unlock()
 		told = append(told, news...)
@@ -88,13 +88,13 @@
 	assert.Equal(t, 3, reached)
 	mu.Lock()
 	defer mu.Unlock()
-	assert.Len(t, told, 3, "each end is told once")
+	assert.Len(t, told, 3, "each crash is reported once")
 	a := e.ask(t, http.MethodPost, "/stream/y")
-	assert.Equal(t, wholeStream, a.body, "other work is served by those that are left")
+	assert.Equal(t, wholeStream, a.body, "other content is served by the remaining servers")
 }
 
-// TestBrokenConnectionIsNoEnd: the server is there, only its connections break.
-func TestBrokenConnectionIsNoEnd(t *testing.T) {
+// TestLostConnectionIsNoCrash: the server aborts connections but still accepts new ones.
+func TestLostConnectionIsNoCrash(t *testing.T) {
 	e := newEntry(t, newBackend(t, "b-1", cut), newBackend(t, "b-2", cut))
 	for range 4 {
 		e.ask(t, http.MethodPost, "/safe/x")
@@ -102,9 +102,10 @@
 	assert.Zero(t, e.suspects.count())
 }
 
-// TestServerThatLeavesEndsByItself: its end says nothing about what it ran.
-func TestServerThatLeavesEndsByItself(t *testing.T) {
-	b := endsUnder(t, "b-1", "/stream/x")
+// TestStopOfALeavingServerIsNoCrash: the server stops after it announced that it leaves, which says
+// nothing about the requests that it ran.
+func TestStopOfALeavingServerIsNoCrash(t *testing.T) {
+	b := crashesUnder(t, "b-1", "/stream/x")
 	e := newEntry(t, b)
 	e.onlyEngines()
 	serve := b.Config.Handler
@@ -120,20 +121,22 @@
 	assert.Empty(t, e.Suspicions())
 }
 
-// TestAnswerInFullClearsTheWork: a request that stood beside the one at fault.
-func TestAnswerInFullClearsTheWork(t *testing.T) {
-	e := newEntry(t, endsUnder(t, "b-1", "/stream/x"), newBackend(t, "b-2", events(0)))
+// TestFullAnswerClearsSuspicion: a request that was in flight when its server crashed is answered
+// by another server.
+func TestFullAnswerClearsSuspicion(t *testing.T) {
+	e := newEntry(t, crashesUnder(t, "b-1", "/stream/x"), newBackend(t, "b-2", events(0)))
 	e.onlyEngines()
 	a := e.ask(t, http.MethodPost, "/stream/x")
 	require.Equal(t, wholeStream, a.body)
-	assert.Equal(t, 1, e.suspects.count(), "the end was seen")
+	assert.Equal(t, 1, e.suspects.count(), "the crash was recorded")
 	assert.Empty(t, e.Suspicions())
 	verdict, _ := e.suspects.verdict(time.Now(), e.contentOf("/stream/x"))
 	assert.Equal(t, quarantine.Free, verdict)
 }
 
-// TestSuspectWorkRunsOnceAtATime: a second copy waits until the first one has been answered.
-func TestSuspectWorkRunsOnceAtATime(t *testing.T) {
+// TestSuspectContentHasOneAttemptAtATime: further requests with the content wait until the first one
+// has been answered.
+func TestSuspectContentHasOneAttemptAtATime(t *testing.T) {
 	var mu sync.Mutex
 	running, most := 0, 0
 	b := newBackend(t, "b-1", func(w http.ResponseWriter, r *http.Request) {
@@ -160,12 +163,12 @@
 	group.Wait()
 }
 
-func TestEndIsTakenFromARefusedConnectionOnly(t *testing.T) {
+func TestCrashIsDetectedByARefusedConnectionOnly(t *testing.T) {
 	b := newBackend(t, "b-1", good)
 	e := newEntry(t, b)
 	choice, _ := e.balancer.Pick(time.Now(), balance.Want{Service: "engine"})
 	require.NotNil(t, choice.Server)
-	assert.False(t, e.suspects.hasEnded(choice.Server), "it is there")
+	assert.False(t, e.suspects.hasCrashed(choice.Server), "it accepts connections")
 	b.Close()
-	assert.True(t, e.suspects.hasEnded(choice.Server))
+	assert.True(t, e.suspects.hasCrashed(choice.Server))
 }
--- a/internal/gateway/allowance.go
+++ b/internal/gateway/allowance.go
@@ -6,19 +6,20 @@
 	"lynxgate.dev/lynxgate/internal/waiting"
 )
 
-// noteAsked notes a request to an engine. One without an objective tells nothing of the waits that
-// callers bear.
-func (c *call) noteAsked() {
+// recordArrival adds a request to an engine to the allowance of its service. Routes without an
+// objective say nothing about acceptable waits and are ignored.
+func (c *call) recordArrival() {
 	e := c.engine()
 	if e == nil || c.route.Objective <= 0 {
 		return
 	}
-	c.g.rooms.asked(c.service, c.route.Objective, e.ReadTime(c.promptTokens(e)), e.ReadTime(e.UsualPrompt), c.cameBack)
+	c.g.queues.recordArrival(c.service, c.route.Objective, e.ReadTime(c.promptTokens(e)), e.ReadTime(e.UsualPrompt), c.clientRetry)
 }
 
-// asked notes a request with this objective to an engine that reads its prompt for read, and a
-// usual one for usualRead.
-func (q *roomQueues) asked(service string, objective, read, usualRead time.Duration, cameBack bool) {
+// recordArrival adds a request with this objective to the allowance of a service. The engine takes read
+// for its prompt and usualRead for a prompt of usual size. Client retries are not counted, as
+// waiting.Allowance requires.
+func (q *waitQueues) recordArrival(service string, objective, read, usualRead time.Duration, clientRetry bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	a := q.allowances[service]
@@ -26,29 +27,29 @@
 		a = waiting.NewAllowance(objective, usualRead)
 		q.allowances[service] = a
 	}
-	if !cameBack {
+	if !clientRetry {
 		a.Asked(objective, read)
 	}
 }
 
-// allowance is the longest predicted wait with which requests to a service are sent now.
-func (q *roomQueues) allowance(service string, share float64, pass time.Duration) time.Duration {
+// allowance returns the longest predicted wait with which requests to a service are dispatched now.
+func (q *waitQueues) allowance(service string, share float64, pass time.Duration) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	a := q.allowances[service]
 	if a == nil {
-		return leastBudget
+		return minWaitBudget
 	}
-	return a.Longest(share, pass, leastBudget)
+	return a.Longest(share, pass, minWaitBudget)
 }
 
-// unnoticed is the longest wait at another server whose caller notices nothing. It counts the
-// request's own prompt, unlike what decides who gets room: the request has its place, and keeps
-// it if no other fits.
-func (c *call) unnoticed(read time.Duration) time.Duration {
+// unnoticedWait returns the longest wait at another server that the caller does not notice. Unlike the
+// allowance it counts the request's own prompt: the request already has a slot and keeps it if no
+// other server fits.
+func (c *call) unnoticedWait(read time.Duration) time.Duration {
 	e := c.engine()
 	if e == nil {
 		return 0
 	}
-	return max(time.Duration(moveShare*float64(c.route.Objective))-read-e.Pass(), leastBudget)
+	return max(time.Duration(unnoticedShare*float64(c.route.Objective))-read-e.Pass(), minWaitBudget)
 }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -11,22 +11,22 @@
 	"lynxgate.dev/lynxgate/internal/dispatch"
 )
 
-// hopFields concern one connection only and are not passed on (RFC 9110, 7.6.1).
-var hopFields = map[string]bool{
+// hopByHopFields concern one connection only and are not forwarded (RFC 9110, 7.6.1).
+var hopByHopFields = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Expect": true, "Content-Length": true, "Host": true,
 }
 
-// sendHead is what the head of one send has of its own.
-type sendHead struct {
+// attemptFields are the header values that differ between the attempts of a call.
+type attemptFields struct {
 	server        string
 	expectVersion string
 }
 
-// head returns the bytes of a send: the caller's method, target, fields and body,
-// and the fields that the system sets.
-func (c *call) head(s sendHead) []byte {
+// requestBytes returns the HTTP request of one attempt: the caller's method, target, header
+// fields and body, and the fields that the system sets.
+func (c *call) requestBytes(s attemptFields) []byte {
 	h := &c.g.cfg.Headers
 	var b bytes.Buffer
 	b.Grow(512 + len(c.body))
@@ -34,7 +34,7 @@
 	named := connectionFields(c.r.Header)
 	own := []string{h.Key, h.Organisation, h.ExpectServer, h.ExpectVersion, h.DeadlineMs, h.Priority, h.ResumeAfter}
 	for name, values := range c.r.Header {
-		if hopFields[name] || named[name] || containsFold(own, name) {
+		if hopByHopFields[name] || named[name] || containsFold(own, name) {
 			continue
 		}
 		for _, value := range values {
@@ -44,7 +44,7 @@
 	if len(c.body) > 0 || c.r.ContentLength >= 0 && c.r.Method != http.MethodGet && c.r.Method != http.MethodHead {
 		writeField(&b, "Content-Length", strconv.Itoa(len(c.body)))
 	}
-	writeField(&b, h.DeadlineMs, strconv.FormatInt(max(clock.Until(c.by).Milliseconds(), 1), 10))
+	writeField(&b, h.DeadlineMs, strconv.FormatInt(max(clock.Until(c.deadline).Milliseconds(), 1), 10))
 	writeField(&b, h.ExpectServer, s.server)
 	if s.expectVersion != "" {
 		writeField(&b, h.ExpectVersion, s.expectVersion)
@@ -76,7 +76,7 @@
 	return false
 }
 
-// connectionFields are the fields that a Connection field names.
+// connectionFields returns the canonical names of the fields listed in the Connection header.
 func connectionFields(h http.Header) map[string]bool {
 	values := h["Connection"]
 	if len(values) == 0 {
@@ -91,8 +91,8 @@
 	return named
 }
 
-// expectVersion is the version of weights that the next server must hold: that of
-// the events passed on so far.
+// expectVersion returns the version of weights that the next server must have loaded: the one that
+// wrote the events forwarded so far, empty if there are none.
 func (c *call) expectVersion() string {
 	if c.model == "" {
 		return ""
@@ -103,12 +103,12 @@
 	return ""
 }
 
-// copyHead takes over the fields of a server's answer.
+// copyHead copies the header fields of a server's answer, except for hop-by-hop fields.
 func (c *call) copyHead(a *dispatch.Answer) {
 	out := c.w.Header()
 	named := connectionFields(a.Header)
 	for name, values := range a.Header {
-		if hopFields[name] || named[name] {
+		if hopByHopFields[name] || named[name] {
 			continue
 		}
 		out[name] = values
@@ -121,28 +121,28 @@
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	c.w.WriteHeader(status)
 	if c.r.Method != http.MethodHead {
-		// An error means that the caller is gone, which the log tells by its context.
+		// An error means that the caller left; the log shows that by the request's context.
 		_, _ = c.w.Write(body)
 	}
 }
 
-// fail answers a request that the caller has to change.
+// fail answers with an error status and no Retry-After.
 func (c *call) fail(status int, reason string) {
 	c.status, c.reason = status, reason
 	c.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	c.write(status, []byte(reason+"\n"))
 }
 
-// refuse answers a request that has not run and never will.
+// refuse answers a request that has not run and will not run, and suggests when to retry it.
 func (c *call) refuse(status int, reason string, retryAfter time.Duration) {
-	c.g.rooms.refused(clock.Now(), retryAfter)
+	c.g.queues.refused(clock.Now(), retryAfter)
 	seconds := strconv.FormatFloat(retryAfter.Truncate(time.Millisecond).Seconds(), 'f', 3, 64)
 	c.w.Header().Set("Retry-After", seconds)
 	c.fail(status, reason)
 }
 
-// giveUp ends a call without an answer of a server, at once. What has begun to be
-// written is broken off, so that it can not look whole.
+// giveUp ends a call that has no answer from a server. If part of an answer has been
+// written, the connection is aborted so that the answer does not look complete.
 func (c *call) giveUp(reason string) {
 	switch {
 	case c.r.Context().Err() != nil:
@@ -150,31 +150,31 @@
 	case c.committed:
 		c.status, c.reason = http.StatusBadGateway, reason
 		c.broken = true
-	case !c.mayHaveRun && c.neverBack:
+	case !c.mayHaveRun && c.noRetryAfter:
 		c.fail(http.StatusServiceUnavailable, reason)
 	case !c.mayHaveRun:
 		c.refuse(http.StatusServiceUnavailable, reason, c.retryAfter())
-	case !clock.Now().Before(c.by.Add(-leastSend)):
+	case !clock.Now().Before(c.deadline.Add(-minAttemptTime)):
 		c.fail(http.StatusGatewayTimeout, reason)
 	default:
 		c.fail(http.StatusBadGateway, reason)
 	}
 }
 
-// retryAfter is when a refused caller should come back: after some objectives'
-// worth of work, drawn so that not all come at once, and early enough that its
-// deadline leaves time for the answer. Where servers may be sent to again at a moment that is
-// known, it is that moment. Where no server can be used at all, that will last for seconds, and
-// the caller should come back as late as it may.
+// retryAfter returns the delay that is suggested to a refused caller: a few times the objective, with
+// jitter so that client retries are spread out, and early enough that the caller's deadline
+// leaves time for the answer. If it is known when throttled servers accept requests again, it is
+// that moment plus jitter. If no server can be used at all, that lasts for seconds, and the delay
+// is the longest that the deadline allows.
 func (c *call) retryAfter() time.Duration {
 	if c.route == nil || c.route.Objective <= 0 {
 		return defaultRetryAfter
 	}
-	most := max(clock.Until(c.clientBy)/retryAfterPart, 0)
-	if c.room.Fit == 0 && !c.room.Opens.IsZero() {
-		return max(clock.Until(c.room.Opens), 0) + jitter(c.route.Objective)
+	most := max(clock.Until(c.clientDeadline)/retryAfterDivisor, 0)
+	if c.capacity.Fit == 0 && !c.capacity.Opens.IsZero() {
+		return max(clock.Until(c.capacity.Opens), 0) + jitter(c.route.Objective)
 	}
-	if c.room.Fit == 0 {
+	if c.capacity.Fit == 0 {
 		return most - jitter(most/4)
 	}
 	return min(2*c.route.Objective+jitter(3*c.route.Objective), most)
--- /dev/null
+++ b/internal/gateway/attempt.go
@@ -0,0 +1,259 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"lynxgate.dev/lynxgate/internal/balance"
+	"lynxgate.dev/lynxgate/internal/clock"
+	"lynxgate.dev/lynxgate/internal/dispatch"
+	"lynxgate.dev/lynxgate/internal/fleet"
+)
+
+// attempt sends the request to the chosen server, once.
+func (c *call) attempt(ctx context.Context) attemptResult {
+	s := c.choice.Server
+	watch := c.watch(ctx)
+	defer watch.stop()
+	answer, err := s.Pool.Send(watch.ctx, c.request(s), c.deadline)
+	if err != nil {
+		if !c.takenOver(watch, err) {
+			return c.attemptFailed(watch, err)
+		}
+		if !errors.Is(err, dispatch.ErrNotSent) {
+			c.countAttempt()
+			c.countRun() // the server may have begun
+		}
+		return attemptAgain
+	}
+	defer answer.Close()
+	c.countAttempt()
+	c.noteHead(&c.choice, answer)
+	return c.answered(watch, answer)
+}
+
+// countAttempt counts an attempt that was sent to its server.
+func (c *call) countAttempt() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.attempts++
+}
+
+// countRun counts an attempt that may have run.
+func (c *call) countRun() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.mayHaveRun = true
+	c.runs++
+}
+
+// request returns the request for a server.
+func (c *call) request(s *balance.Server) *dispatch.Request {
+	return &dispatch.Request{
+		Method: c.r.Method, Bytes: c.requestBytes(attemptFields{server: s.ID, expectVersion: c.expectVersion()}),
+		IDHeader: c.g.cfg.Headers.RequestID, ID: c.id,
+	}
+}
+
+// ending returns how a failed attempt ended for the balancer, by who ended it, and sets endedBy.
+func (c *call) ending(watch *watchdog) balance.Ending {
+	switch {
+	case watch.weightsExpired.Load():
+		c.endedBy = "entry: the server's weights are over"
+		return balance.EndedElse
+	case watch.parent.Err() != nil:
+		c.endedBy = "caller or deadline"
+		return balance.EndedElse
+	case watch.server.Context().Err() != nil:
+		c.endedBy = "server: started again"
+		return balance.EndedElse
+	}
+	c.endedBy = "server or link"
+	return balance.EndedFailed
+}
+
+// recordFailure counts an attempt that failed because of its server or the connection, and records
+// a crash if the server has crashed.
+func (c *call) recordFailure(ending balance.Ending, begun bool, err error) {
+	if ending != balance.EndedFailed {
+		return
+	}
+	c.g.cfg.Metrics.failedAttempts.WithLabelValues(c.service, strconv.FormatBool(begun)).Inc()
+	c.noteCrash(c.choice.Server, err)
+}
+
+// attemptFailed handles an attempt without an answer.
+func (c *call) attemptFailed(watch *watchdog, err error) attemptResult {
+	c.lastErr = err
+	ending := c.ending(watch)
+	if errors.Is(err, dispatch.ErrNoConnection) {
+		ending = balance.EndedBusy
+	}
+	c.g.balancer.Done(&c.choice, clock.Now(), ending)
+	if errors.Is(err, dispatch.ErrNotSent) {
+		c.logAttempt("attempt failed", err)
+		c.allowLastServer(ending)
+		return attemptAgain
+	}
+	c.countAttempt()
+	c.mayHaveRun = true
+	c.recordFailure(ending, false, err)
+	c.logAttempt("attempt failed", err)
+	if watch.weightsExpired.Load() && c.route.Idempotent() {
+		return attemptAgain // it has most likely not begun
+	}
+	c.runs++
+	if c.route.Idempotent() {
+		return attemptAgain
+	}
+	c.giveUp("connection to the backend server failed")
+	return attemptFinal
+}
+
+// answered handles an attempt by the header of its answer.
+func (c *call) answered(watch *watchdog, a *dispatch.Answer) attemptResult {
+	notRun := c.isNotRun(a)
+	if !notRun {
+		c.countRun()
+	}
+	good := !notRun && a.StatusCode/100 == 2 && c.signed(a)
+	if good && c.route.Kind == fleet.KindStream {
+		return c.stream(watch, a, nil)
+	}
+	if good {
+		return c.forwardWhole(watch, a)
+	}
+	if c.takenOver(watch, errRefused) {
+		return attemptAgain
+	}
+	switch {
+	case notRun:
+		return c.notRun(a)
+	case a.StatusCode/100 != 2:
+		return c.failedAnswer(watch, a)
+	}
+	return c.brokenAnswer(watch, "answer without a signature", nil)
+}
+
+// isNotRun reports whether the answer states that the server did not run the request.
+func (c *call) isNotRun(a *dispatch.Answer) bool {
+	return a.Header.Get(c.g.cfg.Headers.NotRun) != "" || a.StatusCode == http.StatusMisdirectedRequest
+}
+
+// signed reports whether a backend server wrote the answer and no proxy has re-encoded it.
+func (c *call) signed(a *dispatch.Answer) bool {
+	return a.Header.Get(c.g.cfg.Headers.Signature) != "" && a.Header.Get("Content-Encoding") == ""
+}
+
+// refusal returns how an attempt that its server did not run ended for the balancer.
+func (c *call) refusal(a *dispatch.Answer, choice *balance.Choice) balance.Ending {
+	other := a.Header.Get(c.g.cfg.Headers.ServerID)
+	if a.StatusCode == http.StatusMisdirectedRequest && other != "" && other != choice.Server.ID {
+		return balance.EndedGone
+	}
+	return balance.EndedBusy
+}
+
+// notRun handles an answer which states that the server did not run the request.
+func (c *call) notRun(a *dispatch.Answer) attemptResult {
+	ending := c.refusal(a, &c.choice)
+	_, _ = io.Copy(io.Discard, a)
+	c.allowLastServer(ending)
+	c.refusals++
+	if requestedBackoff(a) > 0 {
+		c.backoffs++
+	}
+	c.g.balancer.Done(&c.choice, clock.Now(), ending)
+	c.logAttempt("backend server did not run the request: "+strconv.Itoa(a.StatusCode), nil)
+	return attemptAgain
+}
+
+// allowLastServer removes the last server from those excluded from the next attempt, if it was only
+// full and the rest of a stream is at stake.
+func (c *call) allowLastServer(ending balance.Ending) {
+	if c.events > 0 && ending == balance.EndedBusy {
+		c.tried = c.tried[:len(c.tried)-1]
+	}
+}
+
+// failedAnswer handles an answer with an error status. Server errors of idempotent requests are
+// retried if another attempt is allowed; other answers are forwarded to the caller.
+func (c *call) failedAnswer(watch *watchdog, a *dispatch.Answer) attemptResult {
+	body, err := readWhole(a, c.deadline)
+	if err != nil {
+		return c.brokenAnswer(watch, "answer broke off", err)
+	}
+	ending := balance.EndedWell
+	if a.StatusCode >= http.StatusInternalServerError {
+		ending = balance.EndedFailed
+	}
+	c.g.balancer.Done(&c.choice, clock.Now(), ending)
+	c.logAttempt("backend server failed: "+strconv.Itoa(a.StatusCode), nil)
+	if c.committed {
+		return attemptAgain // the error answer must not be written into a stream that has begun
+	}
+	if a.StatusCode >= http.StatusInternalServerError && c.mayRetry() {
+		return attemptAgain
+	}
+	c.copyHead(a)
+	c.status, c.reason = a.StatusCode, "backend server failed"
+	c.write(a.StatusCode, body)
+	return attemptFinal
+}
+
+// mayRetry reports whether the route allows another attempt and there is time for one.
+func (c *call) mayRetry() bool {
+	if !c.route.Idempotent() || c.attempts-c.backoffs >= c.route.MaxAttempts {
+		return false
+	}
+	return clock.Until(c.deadline) > minAttemptTime
+}
+
+// brokenAnswer handles an answer that can't be forwarded to the caller, or not to its end.
+func (c *call) brokenAnswer(watch *watchdog, what string, err error) attemptResult {
+	c.lastErr = err
+	ending := c.ending(watch)
+	c.g.balancer.Done(&c.choice, clock.Now(), ending)
+	c.recordFailure(ending, true, err)
+	c.noteInterrupted()
+	c.logAttempt(what, err)
+	if c.route.Idempotent() {
+		return attemptAgain
+	}
+	c.giveUp(what)
+	return attemptFinal
+}
+
+// forwardWhole forwards a non-streaming answer once it has been read completely.
+func (c *call) forwardWhole(watch *watchdog, a *dispatch.Answer) attemptResult {
+	body, err := readWhole(a, c.deadline)
+	if c.takenOver(watch, err) {
+		return attemptAgain
+	}
+	if err != nil {
+		return c.brokenAnswer(watch, "answer broke off", err)
+	}
+	return c.writeWhole(a, body)
+}
+
+// writeWhole writes a complete non-streaming answer to the caller.
+func (c *call) writeWhole(a *dispatch.Answer, body []byte) attemptResult {
+	c.g.balancer.Done(&c.choice, clock.Now(), balance.EndedWell)
+	c.clearSuspicion()
+	c.copyHead(a)
+	c.status, c.reason = a.StatusCode, "served"
+	c.write(a.StatusCode, body)
+	return attemptFinal
+}
+
+// maxWholeAnswer is the limit of a non-streaming answer, in bytes.
+const maxWholeAnswer = 64 << 20
+
+func readWhole(a *dispatch.Answer, deadline time.Time) ([]byte, error) {
+	a.ReadBy(deadline)
+	return io.ReadAll(io.LimitReader(a, maxWholeAnswer))
+}
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -12,16 +12,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// resting turns requests away and asks for rest.
-func resting(seconds string) func(http.ResponseWriter, *http.Request) {
+// requestingBackoff refuses requests and requests backoff for this many seconds.
+func requestingBackoff(seconds string) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Retry-After", seconds)
 		notRun(w, r)
 	}
 }
 
-func TestCallersAreToldWhenAServerAtRestMayBeAskedAgain(t *testing.T) {
-	b := newBackend(t, "b-1", resting("1.5"))
+func TestRetryAfterIsTheEndOfTheBackoff(t *testing.T) {
+	b := newBackend(t, "b-1", requestingBackoff("1.5"))
 	e := newEntry(t, b)
 	e.ask(t, "POST", "/unsafe/1")
 	for i := range 3 {
@@ -36,7 +36,7 @@
 	assert.Contains(t, e.logs.String(), `"BackingOff":1`)
 }
 
-// scripted answers each request with the next of its scripts, and the last one from then on.
+// scripted answers each request with the next of its handlers, and with the last one from then on.
 func scripted(scripts ...http.HandlerFunc) http.HandlerFunc {
 	var n atomic.Int64
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -44,8 +44,8 @@
 	}
 }
 
-func TestRestOfAStreamWaitsForAServerAtRest(t *testing.T) {
-	tired := newBackend(t, "b-1", scripted(resting("1"), events(0)))
+func TestRestOfAStreamWaitsForTheEndOfABackoff(t *testing.T) {
+	tired := newBackend(t, "b-1", scripted(requestingBackoff("1"), events(0)))
 	cutting := newBackend(t, "b-2", scripted(events(0), events(2)))
 	e := newEntry(t, tired, cutting)
 	require.Equal(t, wholeStream, e.ask(t, "POST", "/stream/1").body)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// defaultDeadline is for callers that state none.
+	// defaultDeadline applies to requests without a deadline header.
 	defaultDeadline = 30 * time.Second
-	// leastSend is the least time left with which a send is worthwhile: below
-	// it a backend server can not answer in time.
-	leastSend = 20 * time.Millisecond
-	// maxDefaultBody bounds a body where the configuration does not, in bytes.
+	// minAttemptTime is the least time left for which an attempt is made: below it a
+	// backend server can't answer in time.
+	minAttemptTime = 20 * time.Millisecond
+	// maxDefaultBody is the limit of a request body, in bytes, if the configuration sets none.
 	maxDefaultBody = 4 << 20
 )
 
-// call is one request of a caller on its way through the entry.
+// call is the state of one request of a caller.
 type call struct {
 	g     *Gateway
 	w     http.ResponseWriter
@@ -42,77 +42,79 @@
 	org   *fleet.Organisation
 	model string
 	body  []byte
-	// size is what the caller states of it, allowed the longest predicted wait with which it
-	// may be sent, as of its last choice.
+	// size is the size that the caller states. allowed is the longest predicted wait that was
+	// accepted at the last choice of a server.
 	size    size
 	allowed time.Duration
-	// content is the digest, made by digest.
+	// content is the digest of the request's content, computed by the method digest.
 	content    quarantine.Digest
 	digestOnce sync.Once
-	// hasTurn: the call runs suspect work, no other one does here.
+	// hasTurn: the call has the exclusive right to dispatch its suspect content.
 	hasTurn bool
-	// endedServers are those that count against work that is held back.
+	// endedServers are the crashed incarnations because of which the request was refused.
 	endedServers []string
-	// neverBack: the caller is not told when to come again.
-	neverBack bool
-	// clientBy is when the caller gives up, by its own word; by is when we do.
-	clientBy, by time.Time
-	// cameBack: the caller was refused before.
-	cameBack bool
-	service  string
+	// noRetryAfter: the refusal has no Retry-After, since a client retry would be refused, too.
+	noRetryAfter bool
+	// clientDeadline is the deadline that the caller states; deadline is the earlier of that and
+	// the route's timeout.
+	clientDeadline, deadline time.Time
+	// clientRetry: the caller was refused before, judged by its deadline.
+	clientRetry bool
+	service     string
 
-	// sends counts those that left, runs those that may have run.
-	sends, runs int
-	// unheard counts servers that were asked to go on and called off before they had
-	// answered: they may have begun. No other is asked for no better reason than a load.
-	unheard int
-	// refusals counts those that a server refused, backoffs those of them that requested one.
+	// attempts counts the attempts that were sent to a server, runs those that may have run.
+	attempts, runs int
+	// unanswered counts handovers that were cancelled before the other server had answered: it
+	// may have begun all the same. They count against handovers for handoverLoading.
+	unanswered int
+	// refusals counts attempts that a server refused, backoffs those of them whose answer
+	// requested backoff.
 	refusals, backoffs int
-	// mayHaveRun tells that a send may have run, or has.
+	// mayHaveRun: at least one attempt may have run.
 	mayHaveRun bool
 	tried      []*balance.Server
 	choice     balance.Choice
 	lastErr    error
-	// endedBy tells who ended the last send that broke off, interruptedBy who did it
-	// first after the first event.
+	// endedBy says what ended the last attempt that failed, interruptedBy what ended the first
+	// one that failed after the first event.
 	endedBy, interruptedBy string
-	// room tells why no server was chosen, waited for how long the call waited for one.
-	room   balance.Room
-	waited time.Duration
+	// capacity says why no server was chosen; waited is the time spent in the wait queue.
+	capacity balance.Room
+	waited   time.Duration
 	// committed: the head of the answer has been written to the caller.
 	committed bool
-	// status and reason of the end, for the log and the counters.
+	// status and reason are the result, for the log and the counters.
 	status     int
 	reason     string
 	events     int
 	firstEvent time.Duration
-	// longestGap is the longest pause between events, eventAt when the last came.
+	// longestGap is the longest pause between events, eventAt the time of the last one.
 	longestGap time.Duration
 	eventAt    time.Time
-	// lastEvent is the id of the last event passed on, or that the caller has.
+	// lastEvent is the id of the last event that the caller has, from this call or an earlier one.
 	lastEvent string
-	// version of the weights that wrote the first events.
+	// version is that of the weights that wrote the first events.
 	version string
-	// passing guards what is passed on to the caller while another server is asked to
-	// go on with the stream: the handover, the events that are held back for it, and
-	// lastEvent, eventAt, events, sends and runs until it is settled.
-	passing  sync.Mutex
+	// mu guards what is forwarded to the caller while a handover is in progress: handover,
+	// buffered (events of the first server that are not forwarded meanwhile), and until the
+	// handover is settled lastEvent, eventAt, events, attempts and runs.
+	mu       sync.Mutex
 	handover *handover
-	held     []byte
-	// next is the server that has taken the stream over.
+	buffered []byte
+	// next is the handover whose server has taken the request over, nil if there is none.
 	next *handover
-	// broken: the answer was begun and can not be ended.
+	// broken: the answer was begun and can't be completed.
 	broken bool
 }
 
 func (g *Gateway) newCall(w http.ResponseWriter, r *http.Request) *call {
 	return &call{
 		g: g, w: w, r: r, began: clock.Now(), view: g.view.Load(),
-		id: r.Header.Get(g.cfg.Headers.RequestID), size: statedSize(r.Header.Get(g.cfg.Headers.Tokens)), lastEvent: r.Header.Get(g.cfg.Headers.ResumeAfter),
+		id: r.Header.Get(g.cfg.Headers.RequestID), size: parseSize(r.Header.Get(g.cfg.Headers.Tokens)), lastEvent: r.Header.Get(g.cfg.Headers.ResumeAfter),
 	}
 }
 
-// serve decides on the request and carries it out.
+// serve validates and routes the request, and makes attempts until it is answered.
 func (c *call) serve() {
 	t := c.view.Table
 	if t == nil {
@@ -139,14 +141,14 @@
 	if s := t.Service(c.service); s != nil && s.Engine != nil {
 		c.model = c.r.Header.Get(c.g.cfg.Headers.Model)
 	}
-	c.noteAsked()
-	c.g.budget(c.service).Request(c.g.steady(c.began))
-	ctx, cancel := context.WithTimeout(c.r.Context(), clock.Until(c.by))
+	c.recordArrival()
+	c.g.budget(c.service).Request(c.g.monotonic(c.began))
+	ctx, cancel := context.WithTimeout(c.r.Context(), clock.Until(c.deadline))
 	defer cancel()
-	c.attempts(ctx)
+	c.runAttempts(ctx)
 }
 
-// pickTarget draws a service by the weights of the route.
+// pickTarget picks a random service by the weights of the route's targets.
 func pickTarget(targets []fleet.Target) string {
 	sum := 0
 	for _, t := range targets {
@@ -161,7 +163,8 @@
 	return targets[len(targets)-1].Service
 }
 
-// setDeadline takes over the caller's deadline and the route's timeout.
+// setDeadline sets the deadlines from the caller's header and the route's timeout. It returns
+// false if the header is invalid and the call has been answered.
 func (c *call) setDeadline() bool {
 	wait := defaultDeadline
 	if text := c.r.Header.Get(c.g.cfg.Headers.DeadlineMs); text != "" {
@@ -172,13 +175,13 @@
 		}
 		wait = time.Duration(ms * float64(time.Millisecond))
 	}
-	c.clientBy = c.began.Add(wait)
-	c.by = c.began.Add(min(wait, c.route.Timeout))
-	c.cameBack = c.g.rooms.comesBack(c.began, c.route, wait)
+	c.clientDeadline = c.began.Add(wait)
+	c.deadline = c.began.Add(min(wait, c.route.Timeout))
+	c.clientRetry = c.g.queues.isClientRetry(c.began, c.route, wait)
 	return true
 }
 
-// readBody takes the whole body in, so that it can be sent again.
+// readBody reads the whole body, so that retries can send it again.
 func (c *call) readBody(limits fleet.Limits) bool {
 	limit := limits.BodyBytes
 	if limit <= 0 {
@@ -210,15 +213,15 @@
 }
 
 const (
-	// maxDrain and drainTime bound what is read of a body that is refused: a client
-	// that is still sending when the connection is closed may not see the answer.
+	// maxDrain, in bytes, and drainTime limit what is read of a refused body. A client that is
+	// still sending when the connection is closed may not see the answer.
 	maxDrain  = 1 << 20
 	drainTime = 500 * time.Millisecond
 )
 
-// drain reads on a body that is refused.
+// drain reads and discards the rest of a refused body.
 func (c *call) drain() {
-	// A connection that takes no deadline is read without one, up to maxDrain.
+	// A connection that does not support read deadlines is read without one, up to maxDrain.
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(drainTime))
 	_, _ = io.Copy(io.Discard, io.LimitReader(c.r.Body, maxDrain))
 }
@@ -228,43 +231,44 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// attempts sends the request until an answer stands, or gives it up.
-func (c *call) attempts(ctx context.Context) {
+// runAttempts makes attempts until the caller has an answer or the call has ended otherwise.
+func (c *call) runAttempts(ctx context.Context) {
 	for {
-		if c.attempt(ctx) == sendFinal {
+		if c.nextAttempt(ctx) == attemptFinal {
 			return
 		}
-		if c.ended(ctx) {
-			c.releaseNext()
+		if c.endIfExpired(ctx) {
+			c.dropNext()
 			return
 		}
 	}
 }
 
-// attempt goes on at the server that has taken the stream over, or at one chosen now.
-func (c *call) attempt(ctx context.Context) sendResult {
+// nextAttempt continues at the server that has taken the request over, or chooses a server and
+// makes a new attempt there.
+func (c *call) nextAttempt(ctx context.Context) attemptResult {
 	if h := c.next; h != nil {
 		c.next = nil
-		return c.goOn(h)
+		return c.continueHandover(h)
 	}
 	if !c.choose(ctx) {
-		return sendFinal
+		return attemptFinal
 	}
-	return c.send(ctx)
+	return c.attempt(ctx)
 }
 
-// sendResult tells how to go on after a send.
-type sendResult uint8
+// attemptResult says whether the call is over after an attempt.
+type attemptResult uint8
 
 const (
-	// sendFinal: the caller has its answer, or is gone.
-	sendFinal sendResult = iota
-	// sendAgain: the request may be sent to another server.
-	sendAgain
+	// attemptFinal: the caller has its answer, or has left.
+	attemptFinal attemptResult = iota
+	// attemptAgain: another attempt may be made, or a handover continues the request.
+	attemptAgain
 )
 
-// ended ends the call if the caller is gone or time is up.
-func (c *call) ended(ctx context.Context) bool {
+// endIfExpired ends the call if the caller has left or the deadline has passed.
+func (c *call) endIfExpired(ctx context.Context) bool {
 	if c.r.Context().Err() != nil {
 		c.status, c.reason = statusClientGone, "caller left"
 		return true
@@ -276,5 +280,5 @@
 	return false
 }
 
-// statusClientGone stands in logs and counters for a caller that left.
+// statusClientGone is the status in logs and metrics of a request whose caller left.
 const statusClientGone = 499
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -8,11 +8,11 @@
 	"lynxgate.dev/lynxgate/internal/clock"
 )
 
-// choose picks the server of the next send; false if the call has ended.
+// choose picks the server of the next attempt. It returns false if the call has ended.
 func (c *call) choose(ctx context.Context) bool {
-	again := c.sends > 0
-	if again {
-		if c.attemptsUsed() {
+	isRetry := c.attempts > 0
+	if isRetry {
+		if c.attemptsExhausted() {
 			c.giveUp("all attempts are used")
 			return false
 		}
@@ -20,13 +20,13 @@
 	if !c.admit(ctx) {
 		return false
 	}
-	if again && (!c.backOff(ctx) || !c.takeRetry(ctx)) {
+	if isRetry && (!c.backOff(ctx) || !c.takeRetry(ctx)) {
 		c.giveUp("retry budget is used up")
 		return false
 	}
-	choice, room := c.pick(ctx, again)
+	choice, capacity := c.pick(ctx, isRetry)
 	if choice.Server == nil {
-		c.noServer(room)
+		c.failNoServer(capacity)
 		return false
 	}
 	c.choice = choice
@@ -35,48 +35,48 @@
 	return true
 }
 
-// attemptsUsed tells whether no other server may get the request. One that requested backoff gets
-// nothing more for that time from anybody here, so that it does not count: else a few servers
-// that back off would use up the attempts of callers that others have room for. The rest of a stream
-// that has begun is sent on after servers that refused it, since its caller can't
-// start again; the retry budget bounds that.
-func (c *call) attemptsUsed() bool {
+// attemptsExhausted reports whether the route allows no further attempt. Refusals that requested backoff
+// do not count: the server gets no requests from this entry for that time, and a few such servers
+// would use up the attempts of requests that others have free slots for. For the rest of
+// a stream that has begun, no refusal counts, since its caller can't start again; the retry
+// budget bounds those attempts.
+func (c *call) attemptsExhausted() bool {
 	most := max(c.route.MaxAttempts, 1)
 	if c.events > 0 {
 		return c.runs >= most
 	}
-	return c.sends-c.backoffs >= most
+	return c.attempts-c.backoffs >= most
 }
 
-// backOff waits before the rest of a stream that has begun is asked of further servers,
-// once some have refused it: a stream that waits for room must not use up the repeats of
-// all others. It returns false if there is no time left.
+// backOff waits before the next attempt at the rest of a stream once some servers have refused
+// it: a stream that waits for a free slot must not use up the retry budget of all others. It
+// returns false if there is no time left.
 func (c *call) backOff(ctx context.Context) bool {
-	if c.events == 0 || c.refusals <= freeRefusals {
+	if c.events == 0 || c.refusals <= undelayedRefusals {
 		return true
 	}
-	pause := min(resumePause<<min(c.refusals-freeRefusals, maxDoublings), maxResumePause)
-	return c.wait(ctx, pause)
+	pause := min(resumeInterval<<min(c.refusals-undelayedRefusals, maxDoublings), maxResumeInterval)
+	return c.waitFor(ctx, pause)
 }
 
-// takeRetry takes a repeat from the budget. The rest of a stream that has begun waits
-// for one.
+// takeRetry takes a retry from the service's budget. The rest of a stream that has begun waits
+// until the budget has one.
 func (c *call) takeRetry(ctx context.Context) bool {
-	for !c.g.budget(c.service).TryRetry(c.g.steady(clock.Now())) {
-		if c.events == 0 || !c.resumeLater(ctx) {
+	for !c.g.budget(c.service).TryRetry(c.g.monotonic(clock.Now())) {
+		if c.events == 0 || !c.waitToResume(ctx) {
 			return false
 		}
 	}
 	return true
 }
 
-// resumeLater waits before the next look for a server that goes on with a stream;
+// waitToResume waits before the next search for a server for the rest of a stream. It returns
 // false if there is no time left.
-func (c *call) resumeLater(ctx context.Context) bool { return c.wait(ctx, resumePause) }
+func (c *call) waitToResume(ctx context.Context) bool { return c.waitFor(ctx, resumeInterval) }
 
-// wait waits, and returns false if there is no time left for a send then.
-func (c *call) wait(ctx context.Context, d time.Duration) bool {
-	if clock.Until(c.by) < leastSend+d {
+// waitFor waits for d. It returns false if there would be no time left for an attempt after that.
+func (c *call) waitFor(ctx context.Context, d time.Duration) bool {
+	if clock.Until(c.deadline) < minAttemptTime+d {
 		return false
 	}
 	select {
@@ -87,52 +87,53 @@
 	}
 }
 
-// pick asks the balancer for a server. The rest of a stream that has begun waits
-// for one as long as its caller does and any server may come to take it.
-func (c *call) pick(ctx context.Context, again bool) (balance.Choice, balance.Room) {
+// pick asks the balancer for a server, and waits in the wait queue if that can help. The rest of
+// a stream that has begun waits until the deadline, as long as any server may become able to
+// take it.
+func (c *call) pick(ctx context.Context, isRetry bool) (balance.Choice, balance.Room) {
 	for {
 		now := clock.Now()
-		if c.by.Sub(now) < leastSend {
+		if c.deadline.Sub(now) < minAttemptTime {
 			return balance.Choice{}, balance.Room{}
 		}
-		want := c.want(share(again))
+		want := c.want(objectiveShare(isRetry))
 		if c.events > 0 {
 			want.Version = c.versionNumber()
 		}
-		choice, room := c.pickNow(now, want)
+		choice, capacity := c.pickNow(now, want)
 		if choice.Server == nil {
-			if given, ok := c.waitForRoom(ctx, want, room); ok {
-				return given, room
+			if given, ok := c.waitForSlot(ctx, want, capacity); ok {
+				return given, capacity
 			}
 		}
-		if choice.Server != nil || c.events == 0 || room.Fit+room.Later == 0 || !c.resumeLater(ctx) {
-			return choice, room
+		if choice.Server != nil || c.events == 0 || capacity.Fit+capacity.Later == 0 || !c.waitToResume(ctx) {
+			return choice, capacity
 		}
 	}
 }
 
-// pickNow asks the balancer for a server that has room now. A caller that is late already
-// gets none while others wait that are not.
+// pickNow asks the balancer for a server with a free slot. A client retry, which is late already,
+// gets none while first attempts wait.
 func (c *call) pickNow(now time.Time, want balance.Want) (balance.Choice, balance.Room) {
-	if c.sends == 0 && c.cameBack && c.g.rooms.firstAttempts(c.service) {
+	if c.attempts == 0 && c.clientRetry && c.g.queues.hasFirstAttempts(c.service) {
 		return c.g.balancer.Look(now, want)
 	}
 	return c.g.balancer.Pick(now, want)
 }
 
-// noServer ends a call that no server can take.
-func (c *call) noServer(room balance.Room) {
-	c.room = room
+// failNoServer ends a call that no server can take.
+func (c *call) failNoServer(capacity balance.Room) {
+	c.capacity = capacity
 	switch {
-	case clock.Until(c.by) < leastSend:
+	case clock.Until(c.deadline) < minAttemptTime:
 		c.giveUp("no time left")
-	case room.Known == 0:
+	case capacity.Known == 0:
 		c.giveUp("no backend server is known")
-	case room.Fit == 0 && room.Limited > 0:
+	case capacity.Fit == 0 && capacity.Limited > 0:
 		c.giveUp("backend servers are at the limits that they name")
-	case room.Fit == 0 && room.BackingOff > 0:
+	case capacity.Fit == 0 && capacity.BackingOff > 0:
 		c.giveUp("backend servers have requested backoff")
-	case room.Fit == 0:
+	case capacity.Fit == 0:
 		c.giveUp("no backend server can take it")
 	default:
 		c.giveUp("all backend servers are full")
--- a/internal/gateway/content.go
+++ b/internal/gateway/content.go
@@ -2,8 +2,8 @@
 
 import "lynxgate.dev/lynxgate/internal/quarantine"
 
-// digest names what the caller wants done, whatever the id of the attempt. It is made once
-// it is asked for: most requests never need it.
+// digest identifies the content of the request, independent of its request id. It is computed on first
+// use, since most requests never need it.
 func (c *call) digest() quarantine.Digest {
 	c.digestOnce.Do(func() {
 		organisation := ""
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// entryCount is by how many entries the floor of repeats is divided: the most that
-// were known at one time in the last window. What is known shrinks for a moment when
-// all control servers restart, since each lists the entries that follow it; an entry
-// that believed it to be alone then took the whole floor, and so did each other one.
+// entryCount is the number of entries that share the retry floor: the highest number
+// that was known at one time within the last window. After all control servers
+// restart, the known number is too low for a moment, since each control server lists
+// only the entries that follow it; every entry would then take the whole floor.
 type entryCount struct {
-	// seen are the counts of the window, at most one by second, the oldest first.
-	seen []countedEntries
+	// counts are those within the window, at most one per second, the oldest first.
+	counts []countSample
 }
 
-type countedEntries struct {
+type countSample struct {
 	at    time.Time
 	count int
 }
 
-// countGrain is the least time between two counts that are kept apart.
-const countGrain = time.Second
+// countInterval is the least time between two stored counts; counts in between are merged into
+// the earlier one.
+const countInterval = time.Second
 
-// note takes a count; what is older than the window is dropped.
+// note adds a count and drops those that are older than the window.
 func (e *entryCount) note(now time.Time, count int, window time.Duration) {
-	e.seen = slices.DeleteFunc(e.seen, func(c countedEntries) bool { return now.Sub(c.at) > window })
-	if n := len(e.seen); n > 0 && now.Sub(e.seen[n-1].at) < countGrain {
-		e.seen[n-1].count = max(e.seen[n-1].count, count)
+	e.counts = slices.DeleteFunc(e.counts, func(c countSample) bool { return now.Sub(c.at) > window })
+	if n := len(e.counts); n > 0 && now.Sub(e.counts[n-1].at) < countInterval {
+		e.counts[n-1].count = max(e.counts[n-1].count, count)
 		return
 	}
-	e.seen = append(e.seen, countedEntries{at: now, count: count})
+	e.counts = append(e.counts, countSample{at: now, count: count})
 }
 
-// most is the highest count of the window, at least 1.
-func (e *entryCount) most() int {
-	most := 1
-	for _, c := range e.seen {
-		most = max(most, c.count)
+// highest returns the highest count within the window, at least 1.
+func (e *entryCount) highest() int {
+	highest := 1
+	for _, c := range e.counts {
+		highest = max(highest, c.count)
 	}
-	return most
+	return highest
 }
--- a/internal/gateway/entries_test.go
+++ b/internal/gateway/entries_test.go
@@ -12,8 +12,9 @@
 	"lynxgate.dev/lynxgate/internal/follow"
 )
 
-// All control servers restart, and the first one lists only who has come back to it.
-func TestEntriesThatAreNotListedForAMomentShareTheFloorOfRepeats(t *testing.T) {
+// TestRetryFloorIsSharedWithEntriesMissingBriefly: after a restart of all control servers, the first
+// one lists only the entries that have reconnected to it.
+func TestRetryFloorIsSharedWithEntriesMissingBriefly(t *testing.T) {
 	g := New(Config{
 		Headers: headers, Balance: balance.Config{Zone: "z", Logger: zerolog.Nop()},
 		RetryShare: 0, RetryFloor: 100, RetryWindow: 10 * time.Second,
@@ -21,17 +22,17 @@
 	})
 	four := []follow.Entry{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
 	g.SetView(&follow.View{Entries: four})
-	now := g.steady(time.Now())
+	now := g.monotonic(time.Now())
 	taken := 0
 	for g.budget("s").TryRetry(now) {
 		taken++
 	}
-	assert.Equal(t, 17, taken, "0.7 of 100 by four")
+	assert.Equal(t, 17, taken, "0.7 of 100, divided by four entries")
 	g.SetView(&follow.View{Entries: four[:1]})
 	assert.False(t, g.budget("s").TryRetry(now))
 }
 
-func TestEntriesThatAreGoneForAWindowCountNoMore(t *testing.T) {
+func TestEntryCountDropsAfterTheWindow(t *testing.T) {
 	var e entryCount
 	now := time.Now()
 	e.note(now, 4, 10*time.Second)
@@ -39,7 +40,7 @@
 	for s := range 10 {
 		e.note(now.Add(time.Duration(s+1)*time.Second), 1, 10*time.Second)
 	}
-	assert.Equal(t, 4, e.most())
+	assert.Equal(t, 4, e.highest())
 	e.note(now.Add(11*time.Second), 1, 10*time.Second)
-	assert.Equal(t, 1, e.most())
+	assert.Equal(t, 1, e.highest())
 }
--- a/internal/gateway/failed_rest_test.go
+++ b/internal/gateway/failed_rest_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestFailureOfTheRestIsNotWrittenIntoTheStream(t *testing.T) {
+func TestErrorAnswerIsNotWrittenIntoABegunStream(t *testing.T) {
 	for _, status := range []int{http.StatusInternalServerError, http.StatusBadRequest} {
 		failed := newBackend(t, "b-fails", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(headers.Signature, "signed")
@@ -18,7 +18,7 @@
 		e := newEntry(t, newBackend(t, "b-breaks", events(2)), failed)
 		e.onlyEngines()
 		a := e.ask(t, http.MethodPost, "/stream/x")
-		assert.Error(t, a.err, "it does not look whole")
+		assert.Error(t, a.err, "the stream does not look complete")
 		assert.NotContains(t, a.body, "memory")
 	}
 }
--- a/internal/gateway/free_connection_test.go
+++ b/internal/gateway/free_connection_test.go
@@ -23,7 +23,7 @@
 	})
 	e := newEntry(t, newBackend(t, "b-breaks", events(2)), takes)
 	e.onlyEngines()
-	// The entry's own connections to the server are used up for 0.3 s.
+	// The entry's connections to the server are all in use for 0.3 s.
 	breaks, _ := e.balancer.Pick(time.Now(), balance.Want{Service: "engine", Model: "m", Budget: time.Second})
 	choice, _ := e.balancer.Pick(time.Now(), balance.Want{Service: "engine", Model: "m", Budget: time.Second, Exclude: []*balance.Server{breaks.Server}})
 	e.balancer.Done(&breaks, time.Now(), balance.EndedElse)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,11 +1,12 @@
 // Package gateway is the entry of a fleet whose backend servers are called
-// directly: it matches requests to routes, sends each to a backend server, and
-// gives the caller the whole answer to its own request, or a refusal that is true.
+// directly: it matches requests to routes and dispatches each to a backend server.
+// The caller gets the whole answer to its own request, or a refusal that correctly
+// says whether the request may have run.
 //
-// State: the view of the fleet (a snapshot), the balancer, the retry budgets.
-// Each request runs on its connection's goroutine; a timer watches each send, and
-// another server is asked on a goroutine of its own (handover). Messages: HTTP/1.1 from
-// callers and to backend servers.
+// State: the view of the fleet (a snapshot), the balancer, the retry budgets, the
+// wait queues and the suspect content. Each request runs on its connection's
+// goroutine; a timer watches each attempt, and a handover to another server runs on
+// a goroutine of its own. Messages: HTTP/1.1 from callers and to backend servers.
 package gateway
 
 import (
@@ -26,73 +27,77 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// Headers names the header fields that callers and backend servers use. The
-// names are the platform's; each field says what the header holds.
+// Headers configures the names of the header fields that callers and backend servers
+// use. The platform defines the names; the comments describe the values.
 type Headers struct {
-	// RequestID names one attempt of a caller; echoed by backend servers.
+	// RequestID identifies one request of a caller; client retries have ids of their own.
+	// Backend servers echo it.
 	RequestID string
-	// DeadlineMs is how long the sender will wait, in milliseconds.
+	// DeadlineMs is how long the sender waits for the answer, in milliseconds.
 	DeadlineMs string
-	// Key is the organisation's secret; Organisation its name, set by us.
+	// Key is the organisation's API key; Organisation is its name, set by the entry.
 	Key          string
 	Organisation string
-	// ExpectServer is the id of the backend server that must have the address,
-	// ExpectVersion the version of weights it must hold.
+	// ExpectServer is the id of the backend server that the request is for,
+	// ExpectVersion the version of weights that it must have loaded.
 	ExpectServer  string
 	ExpectVersion string
 	// NotRun is set by a backend server that did not run the request.
 	NotRun string
-	// Signature proves that an answer is a backend server's.
+	// Signature proves that a backend server wrote the answer.
 	Signature string
-	// ServerID is the id of the backend server that answers; Load its running
-	// and waiting requests and its slots, separated by commas.
+	// ServerID is the id of the backend server that answers; Load is its number of
+	// running requests, waiting requests and slots, separated by commas.
 	ServerID string
 	Load     string
-	// Limit is how many requests a second, of all entries together, the backend server
-	// that answers takes.
+	// Limit is how many requests a second, from all entries together, the backend server
+	// that answers accepts.
 	Limit string
-	// Leaving is set by a backend server that takes no new requests for good.
+	// Leaving is set by a backend server that stops and accepts no new requests any more.
 	Leaving string
-	// Model and its version that wrote the answer.
+	// Model is the requested model; Version is the version of its weights that wrote
+	// the answer.
 	Model   string
 	Version string
-	// Tokens are those of the prompt and the most of the answer, by a comma.
+	// Tokens is the size of the prompt and the maximum size of the answer, in tokens,
+	// separated by a comma.
 	Tokens string
-	// ResumeAfter is the id of the last event that was received.
+	// ResumeAfter is the id of the last event that the caller received.
 	ResumeAfter string
-	// Priority is for the backend server's queue; only the system sets it.
+	// Priority is the priority in the backend server's queue. Only the system may set it;
+	// it is removed from the requests of callers.
 	Priority string
 }
 
-// Config says how an entry works.
+// Config configures a Gateway.
 type Config struct {
 	Headers Headers
 	Balance balance.Config
-	// RetryShare of the requests to a service in RetryWindow, and RetryFloor
-	// beside it, bound the repeats of all entries together.
+	// The retries of all entries together to a service within RetryWindow are limited
+	// to RetryShare of its requests plus RetryFloor.
 	RetryShare  float64
 	RetryFloor  int
 	RetryWindow time.Duration
-	// Tell spreads what is known of work that was at servers that ended; it may be nil.
+	// Tell sends reports of suspect content to other entries; it may be nil.
 	Tell func([]quarantine.News)
-	// TellSignals spreads what backend servers said of themselves; it may be nil.
+	// TellSignals sends the signals of backend servers to other entries; it may be nil.
 	TellSignals func([]backpressure.News)
-	// Turns are those of suspect work over all entries; it may be nil.
+	// Turns grants the turns of suspect content across entries; it may be nil.
 	Turns   Turns
 	Logger  zerolog.Logger
 	Metrics *Metrics
 }
 
-// Gateway serves callers; it is an http.Handler.
+// Gateway is the http.Handler that serves callers.
 type Gateway struct {
 	cfg      Config
 	log      zerolog.Logger
 	view     atomic.Pointer[follow.View]
 	balancer *balance.Balancer
-	rooms    *roomQueues
+	queues   *waitQueues
 	suspects *suspicions
-	// start is the origin of the monotonic clock of the budgets: the time of
-	// day may jump.
+	// start is the origin of the monotonic clock of the retry budgets, since the
+	// time of day may jump.
 	start time.Time
 
 	leaving  atomic.Bool
@@ -103,34 +108,34 @@
 	entries entryCount
 }
 
-// budgetShare is the part of the floor of repeats that the entries give out:
-// one that has just died or come may be counted wrongly.
+// budgetShare is the part of the retry budget that the entries use: the number of
+// entries may be wrong just after one has crashed or joined.
 const budgetShare = 0.7
 
-// New makes an entry.
+// New returns a Gateway without a view of the fleet; it refuses requests until SetView.
 func New(cfg Config) *Gateway {
 	b := balance.New(cfg.Balance)
 	g := &Gateway{
-		cfg: cfg, log: cfg.Logger, balancer: b, rooms: newRoomQueues(b),
+		cfg: cfg, log: cfg.Logger, balancer: b, queues: newWaitQueues(b),
 		suspects: newSuspicions(cfg.Logger, cfg.Tell, cfg.Turns),
 		start:    clock.Now(), budgets: map[string]*retry.Budget{},
 	}
-	b.OnRoom(g.rooms.offer)
+	b.OnRoom(g.queues.grant)
 	b.OnSignals(cfg.TellSignals)
 	g.view.Store(&follow.View{})
 	return g
 }
 
-// SetView takes over a new view of the fleet.
+// SetView replaces the view of the fleet.
 func (g *Gateway) SetView(v *follow.View) {
 	if before := g.view.Swap(v).Table; v.Table != nil && v.Table != before {
-		g.rooms.keepRoutes(v.Table)
+		g.queues.keepRoutes(v.Table)
 	}
 	g.balancer.SetView(v)
-	g.shareBudgets(clock.Now())
+	g.updateRetryFloors(clock.Now())
 }
 
-// Reported takes an agent's report.
+// Reported adds an agent's report.
 func (g *Gateway) Reported(r *rpc.AgentReport) {
 	g.balancer.Reported(clock.Now(), balance.Report{
 		Addr: r.Addr, Born: r.Born, Loading: r.Loading, Models: follow.ModelsFromProto(r.Models),
@@ -138,22 +143,22 @@
 	})
 }
 
-// Renewed notes that a backend server was heard.
+// Renewed records the time of a backend server's last heartbeat.
 func (g *Gateway) Renewed(id string, at time.Time) { g.balancer.Renewed(id, at) }
 
-// Suspected takes what other entries know of work that was at servers that ended.
-func (g *Gateway) Suspected(news []quarantine.News) { g.suspects.take(clock.Now(), news) }
+// Suspected adds reports of other entries on suspect content.
+func (g *Gateway) Suspected(news []quarantine.News) { g.suspects.merge(clock.Now(), news) }
 
-// Suspicions returns all that is known of such work here.
+// Suspicions returns this entry's records of suspect content.
 func (g *Gateway) Suspicions() []quarantine.News { return g.suspects.all() }
 
-// LearnSignals takes what backend servers said of themselves to other entries.
+// LearnSignals adds signals of backend servers that other entries received.
 func (g *Gateway) LearnSignals(news []backpressure.News) { g.balancer.Learn(clock.Now(), news) }
 
-// Signals returns all that backend servers said of themselves, as far as it is known here.
+// Signals returns the signals of backend servers that are known here.
 func (g *Gateway) Signals() []backpressure.News { return g.balancer.Signals() }
 
-// Ready tells whether the entry should get new connections.
+// Ready reports whether the entry should get new connections, and if not, why.
 func (g *Gateway) Ready() (reason string, ok bool) {
 	switch {
 	case g.leaving.Load():
@@ -164,13 +169,14 @@
 	return "", true
 }
 
-// Leave makes the entry not ready, and its answers close their connections.
+// Leave makes the entry not ready; from then on each answer closes its connection.
 func (g *Gateway) Leave() { g.leaving.Store(true) }
 
-// InFlight returns how many requests are in progress.
+// InFlight returns the number of requests in progress.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// Run closes idle connections and sets the gauges until ctx is done.
+// Run closes idle connections, drops expired records and sets the gauges once a second until ctx
+// is done.
 func (g *Gateway) Run(ctx context.Context) error {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -179,8 +185,8 @@
 		case <-ticker.C:
 			now := clock.Now()
 			g.balancer.Refresh(now)
-			g.suspects.forget(now)
-			g.shareBudgets(now)
+			g.suspects.removeExpired(now)
+			g.updateRetryFloors(now)
 			g.setGauges(now)
 		case <-ctx.Done():
 			return ctx.Err()
@@ -211,7 +217,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for service, b := range g.budgets {
-		m.budgetLeft.WithLabelValues(service).Set(b.Left(g.steady(now)))
+		m.budgetLeft.WithLabelValues(service).Set(b.Left(g.monotonic(now)))
 	}
 }
 
@@ -230,18 +236,18 @@
 	return b
 }
 
-// retryFloor is this entry's part of the floor of repeats; the lock is held.
+// retryFloor returns this entry's part of the retry floor. g.mu must be locked.
 func (g *Gateway) retryFloor() int {
-	return int(budgetShare * float64(g.cfg.RetryFloor) / float64(g.entries.most()))
+	return int(budgetShare * float64(g.cfg.RetryFloor) / float64(g.entries.highest()))
 }
 
-// shareBudgets shares the floor out among the entries as of now.
-func (g *Gateway) shareBudgets(now time.Time) {
+// updateRetryFloors sets the floors of all budgets again if the number of entries has changed.
+func (g *Gateway) updateRetryFloors(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before := g.entries.most()
+	before := g.entries.highest()
 	g.entries.note(now, g.view.Load().EntryCount(), g.cfg.RetryWindow)
-	if g.entries.most() == before {
+	if g.entries.highest() == before {
 		return
 	}
 	for _, b := range g.budgets {
@@ -249,8 +255,8 @@
 	}
 }
 
-// steady is the time for budgets: it does not follow steps of the time of day.
-func (g *Gateway) steady(now time.Time) time.Time { return time.Unix(0, 0).Add(now.Sub(g.start)) }
+// monotonic returns the time for retry budgets, which does not follow steps of the time of day.
+func (g *Gateway) monotonic(now time.Time) time.Time { return time.Unix(0, 0).Add(now.Sub(g.start)) }
 
 // ServeHTTP serves one request of a caller.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -261,6 +267,6 @@
 	}
 	c := g.newCall(w, r)
 	c.serve()
-	c.giveTurnBack()
+	c.endTurn()
 	c.report()
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -32,12 +32,12 @@
 	Load: "X-Load", Limit: "X-Limit", Leaving: "X-Leaving", Model: "X-Of-Model", Version: "X-Weights", Tokens: "X-Tokens", ResumeAfter: "Last-Event-ID", Priority: "X-Rank",
 }
 
-// backend is a fake backend server that answers each request with its script.
+// backend is a fake backend server that answers each request with a handler.
 type backend struct {
 	*httptest.Server
 	id string
 	mu sync.Mutex
-	// seen are the requests that came.
+	// seen are the requests received.
 	seen []*http.Request
 }
 
@@ -74,8 +74,8 @@
 
 func cut(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }
 
-// events writes the events after the last one that the caller has, and breaks off
-// in the middle of the one after stop, if that is not 0.
+// events writes the events after the last one that the caller has. If stop is not 0, it aborts
+// in the middle of the event after that.
 func events(stop int) func(w http.ResponseWriter, r *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(headers.Signature, "signed")
@@ -95,7 +95,7 @@
 
 const wholeStream = "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\nid: 4\ndata: 4\n\nid: 5\ndata: 5\n\n"
 
-// entry is a gateway before some backends of the services plain and engine.
+// entry is a Gateway with an HTTP server. Its backends belong to the services plain and engine.
 type entry struct {
 	*Gateway
 	*httptest.Server
@@ -146,7 +146,7 @@
 			})
 		}
 	}
-	// A server has one record; the last service wins, so each test uses one.
+	// A server has one record, that of its last service, so each test uses one service.
 	g.SetView(&follow.View{Table: fleet.NewTable(config), Servers: servers})
 	return &entry{g, server, &logs}
 }
@@ -179,7 +179,7 @@
 	return got{resp.StatusCode, string(body), resp.Header, err}
 }
 
-func TestUnknownConfigurationIsARefusal(t *testing.T) {
+func TestRequestIsRefusedWithoutAConfiguration(t *testing.T) {
 	e := newEntry(t)
 	a := e.ask(t, "POST", "/unsafe/1")
 	assert.Equal(t, http.StatusServiceUnavailable, a.status)
@@ -188,7 +188,7 @@
 	assert.False(t, ready)
 }
 
-func TestRequestIsPassedOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	b := newBackend(t, "b-1", good)
 	e := newEntry(t, b)
 	a := e.ask(t, "POST", "/unsafe/a%2Fb?q=1;2", func(r *http.Request) {
@@ -213,7 +213,7 @@
 	assert.InDelta(t, 1950, left, 50)
 }
 
-func TestRefusalsAreTrue(t *testing.T) {
+func TestStatusTellsWhetherTheRequestMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		path   string
 		serve  func(http.ResponseWriter, *http.Request)
@@ -241,7 +241,7 @@
 	}
 }
 
-func TestIdempotentRequestGoesToAnotherServer(t *testing.T) {
+func TestIdempotentRequestIsRetriedAtAnotherServer(t *testing.T) {
 	for name, first := range map[string]func(http.ResponseWriter, *http.Request){
 		"cut": cut, "not run": notRun, "failed": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) },
 		"other address": func(w http.ResponseWriter, _ *http.Request) {
@@ -263,7 +263,7 @@
 	}
 }
 
-func TestStreamGoesOnWhereItBrokeOff(t *testing.T) {
+func TestBrokenStreamIsResumedAtAnotherServer(t *testing.T) {
 	for stop := 1; stop <= 4; stop++ {
 		b1, b2 := newBackend(t, "b-1", events(stop)), newBackend(t, "b-2", events(0))
 		e := newEntry(t, b1, b2)
@@ -272,22 +272,22 @@
 		assert.Equal(t, wholeStream, a.body)
 		require.Len(t, b2.requests(), 1)
 		assert.Equal(t, strconv.Itoa(stop), b2.requests()[0].Header.Get(headers.ResumeAfter))
-		assert.Equal(t, "7", b2.requests()[0].Header.Get(headers.ExpectVersion), "one answer, one version of the weights")
+		assert.Equal(t, "7", b2.requests()[0].Header.Get(headers.ExpectVersion), "one version of the weights writes the whole answer")
 	}
 }
 
-func TestRequestThatWaitsIsTakenBackBeforeItsWeightsAreOver(t *testing.T) {
-	standstill.Judge(t, testRequestThatWaitsIsTakenBackBeforeItsWeightsAreOver)
+func TestWaitingRequestIsCancelledBeforeItsWeightsExpire(t *testing.T) {
+	standstill.Judge(t, testWaitingRequestIsCancelledBeforeItsWeightsExpire)
 }
 
-func testRequestThatWaitsIsTakenBackBeforeItsWeightsAreOver(t testing.TB) {
+func testWaitingRequestIsCancelledBeforeItsWeightsExpire(t testing.TB) {
 	const bound = 8 * time.Second
-	// Version 8 was named so that 7 is over in 1.2 s: the request is still sent to the
-	// near server, which lets it wait.
+	// Version 8 was announced so long ago that version 7 expires in 1.2 s. The request is still
+	// sent to the server in the entry's zone, which does not begin to answer.
 	over := time.Now().Add(1200 * time.Millisecond)
 	taken := make(chan time.Time, 1)
 	waits := newBackend(t, "1", func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // only then a closed connection is noticed
+		_, _ = io.Copy(io.Discard, r.Body) // the context ends on a closed connection only after this
 		<-r.Context().Done()
 		taken <- time.Now()
 	})
@@ -300,7 +300,7 @@
 	e.SetView(&view)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go func() { // the agent vouches for its server, which is not silent then
+	go func() { // the agent's reports keep the server from counting as silent
 		for ctx.Err() == nil {
 			e.balancer.Reported(time.Now(), balance.Report{Addr: servers[0].Addr, Models: []fleet.Loaded{{Model: "m", Version: 7}}})
 			time.Sleep(50 * time.Millisecond)
@@ -309,8 +309,8 @@
 	answer := e.ask(t, http.MethodPost, "/stream/x")
 	require.NoError(t, answer.err)
 	assert.Equal(t, wholeStream, answer.body)
-	require.NotEmpty(t, waits.requests(), "the near server is asked first")
-	assert.True(t, (<-taken).Before(over), "taken back in time")
+	require.NotEmpty(t, waits.requests(), "the server in the entry's zone is tried first")
+	assert.True(t, (<-taken).Before(over), "cancelled in time")
 	assert.Contains(t, e.logs.String(), "weights are over")
 }
 
@@ -327,7 +327,7 @@
 	assert.Equal(t, wholeStream, answer.body)
 }
 
-func TestStreamThatCanNotGoOnDoesNotLookWhole(t *testing.T) {
+func TestStreamThatCannotBeResumedIsAborted(t *testing.T) {
 	e := newEntry(t, newBackend(t, "b-1", events(2)), newBackend(t, "b-2", notRun))
 	a := e.ask(t, "POST", "/stream/1")
 	assert.Error(t, a.err)
@@ -337,11 +337,11 @@
 	assert.Equal(t, "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n", a.body)
 }
 
-func TestCallerThatLeavesStopsTheWork(t *testing.T) {
-	standstill.Judge(t, testCallerThatLeavesStopsTheWork)
+func TestRequestIsCancelledWhenItsCallerLeaves(t *testing.T) {
+	standstill.Judge(t, testRequestIsCancelledWhenItsCallerLeaves)
 }
 
-func testCallerThatLeavesStopsTheWork(t testing.TB) {
+func testRequestIsCancelledWhenItsCallerLeaves(t testing.TB) {
 	left := make(chan struct{})
 	b := newBackend(t, "b-1", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.ReadAll(r.Body)
@@ -359,15 +359,15 @@
 	select {
 	case <-left:
 	case <-time.After(time.Second):
-		t.Fatal("the backend server still works half a second after its caller left")
+		t.Fatal("the backend server still runs the request a second after its caller left")
 	}
 }
 
-func TestTimeoutOfTheRouteEndsTheWait(t *testing.T) {
-	standstill.Judge(t, testTimeoutOfTheRouteEndsTheWait)
+func TestRequestEndsAtItsDeadline(t *testing.T) {
+	standstill.Judge(t, testRequestEndsAtItsDeadline)
 }
 
-func testTimeoutOfTheRouteEndsTheWait(t testing.TB) {
+func testRequestEndsAtItsDeadline(t testing.TB) {
 	e := newEntry(t, newBackend(t, "b-1", func(_ http.ResponseWriter, r *http.Request) {
 		select {
 		case <-r.Context().Done():
@@ -380,13 +380,13 @@
 	assert.WithinDuration(t, began.Add(300*time.Millisecond), time.Now(), 200*time.Millisecond)
 }
 
-func TestRepeatsAreBounded(t *testing.T) {
+func TestRetriesAreLimitedByTheBudget(t *testing.T) {
 	e := newEntry(t, newBackend(t, "b-1", notRun), newBackend(t, "b-2", notRun))
-	e.cfg.RetryFloor = 10 // 7 of them are given out, and a share of the requests
+	e.cfg.RetryFloor = 10 // 7 of these are used, plus a share of the requests
 	for range 20 {
 		e.ask(t, "POST", "/safe/1")
 	}
-	requests, repeats := e.budget("plain").Counts(e.steady(time.Now()))
+	requests, repeats := e.budget("plain").Counts(e.monotonic(time.Now()))
 	assert.Equal(t, 20, requests)
 	assert.LessOrEqual(t, repeats, 7+int(0.2*20))
 }
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -11,102 +11,105 @@
 )
 
 const (
-	// holdLimit is how long a caller's last event may be past before a handover is called
-	// off: events of the first server are held back until the other one writes. Callers
-	// leave after 2 s.
-	holdLimit = 600 * time.Millisecond
-	// maxAsks is how many servers beyond the route's attempts may be asked.
-	maxAsks = 2
+	// maxHandoverGap is the longest pause in a caller's stream that a handover may cause: events
+	// of the first server are buffered until the other one writes, and a handover that takes
+	// longer is cancelled. Callers leave after 2 s without an event.
+	maxHandoverGap = 600 * time.Millisecond
+	// maxExtraHandovers is how many attempts beyond the route's limit may be made by handovers
+	// of a stream that has begun.
+	maxExtraHandovers = 2
 )
 
-// errHandedOver ends a send whose stream goes on at another server.
+// errHandedOver ends an attempt whose stream another server has taken over.
 var errHandedOver = errors.New("another server goes on with the stream")
 
-// handover asks another server for a request, or for the rest of a running stream, while
-// the first one goes on with it. The first server keeps it until the other one has
-// written an event, or its whole answer: room there is only predicted, from reports 0.1
-// to 0.3 s old, and a stream that was given up for a server that then refuses it would
-// be cut. Events of the first server are held back meanwhile, since those of two runs
-// can't be joined.
+// handover is a hedged attempt: another server is sent the request, or the rest of a running
+// stream, while the first server continues. The first attempt ends only once the other
+// server has written an event or its whole answer. Free slots there are only predicted, from
+// reports that are 0.1 to 0.3 s old; a stream that was taken from its server for one that then
+// refuses it would break off. Events of the first server are buffered meanwhile, since the
+// events of two runs can't be combined.
 type handover struct {
 	choice  balance.Choice
 	request *dispatch.Request
-	why     moveReason
-	// next watches the other server once it has taken the stream over.
+	why     handoverReason
+	// next is the watchdog of the other server's attempt. It is started once that server has
+	// taken the request over.
 	next *watchdog
-	// settled is closed when the other server has taken over or has not.
+	// settled is closed once it is known whether the other server takes the request over.
 	settled chan struct{}
 
-	// answer of the server that has taken over, and what was read of it. Guarded by
-	// call.passing, as calledOff is.
+	// answer is that of the server that has taken over, read what was read of it. Both are
+	// guarded by call.mu, as is cancelled.
 	answer    *dispatch.Answer
 	read      []byte
-	calledOff bool
-	// began: the other server has begun. It belongs to the goroutine that asks it.
+	cancelled bool
+	// began: the other server has begun to run the request. Only the handover's goroutine uses it.
 	began bool
 }
 
-// callOff ends a handover that is not settled. call.passing is held.
-func (h *handover) callOff() {
-	h.calledOff = true
+// cancel ends a handover that is not settled. call.mu must be locked.
+func (h *handover) cancel() {
+	h.cancelled = true
 	h.next.cancel()
 }
 
-// handOver asks another server to go on with the stream that w watches.
-func (c *call) handOver(w *watchdog, why moveReason) {
+// handOver tries to hand the request that w watches over to another server.
+func (c *call) handOver(w *watchdog, why handoverReason) {
 	if h := c.beginHandover(w, why); h != nil {
-		c.ask(w, h)
+		c.runHandover(w, h)
 	}
 }
 
-// beginHandover chooses the other server; nil if there is none.
-func (c *call) beginHandover(w *watchdog, why moveReason) *handover {
-	c.passing.Lock()
-	defer c.passing.Unlock()
-	if w.ended || c.handover != nil || !c.mayAsk(w, why) {
+// beginHandover chooses the other server. It returns nil if there is none, or if no handover is
+// allowed.
+func (c *call) beginHandover(w *watchdog, why handoverReason) *handover {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if w.ended || c.handover != nil || !c.mayHandOver(w, why) {
 		return nil
 	}
 	now := clock.Now()
-	choice, _ := c.g.balancer.Pick(now, c.wantOther(why))
+	choice, _ := c.g.balancer.Pick(now, c.handoverWant(why))
 	if choice.Server == nil {
 		return nil
 	}
-	if !c.g.budget(c.service).TryRetry(c.g.steady(now)) {
+	if !c.g.budget(c.service).TryRetry(c.g.monotonic(now)) {
 		c.g.balancer.Done(&choice, now, balance.EndedElse)
 		return nil
 	}
-	c.sends++
+	c.attempts++
 	c.countSignal(&choice)
 	c.handover = &handover{
 		choice: choice, why: why, next: newWatchdog(w.parent, choice.Server), settled: make(chan struct{}),
 		request: c.request(choice.Server),
 	}
-	c.logHandover("another server is asked to go on", w, c.handover, nil)
+	c.logHandover("handover to another server started", w, c.handover, nil)
 	return c.handover
 }
 
-// mayAsk tells whether another server may be asked beside the one that w watches. What
-// that one was sent is counted only once it has answered.
-func (c *call) mayAsk(w *watchdog, why moveReason) bool {
-	if c.suspect() {
-		return false // one server at a time runs it
+// mayHandOver reports whether a handover is allowed for the attempt that w watches. That attempt
+// itself is counted only once its server has answered.
+func (c *call) mayHandOver(w *watchdog, why handoverReason) bool {
+	if c.isSuspect() {
+		return false // suspect content has one attempt at a time
 	}
 	most := max(c.route.MaxAttempts, 1)
-	if why == moveLoading && c.runs+c.unheard >= most {
+	if why == handoverLoading && c.runs+c.unanswered >= most {
 		return false
 	}
 	if w.begun.Load() {
-		return c.runs < most && c.sends < most+maxAsks
+		return c.runs < most && c.attempts < most+maxExtraHandovers
 	}
-	return c.sends+1 < most
+	return c.attempts+1 < most
 }
 
-// wantOther says what another server must have. One is asked instead of a server that
-// is to load only if the caller will not notice.
-func (c *call) wantOther(why moveReason) balance.Want {
-	want := c.want(resendShare)
-	if why == moveLoading {
-		want.Budget = c.unnoticed(want.Read)
+// handoverWant returns what the other server of a handover must offer. If the first server only
+// waits to load weights, the caller must not notice the handover.
+func (c *call) handoverWant(why handoverReason) balance.Want {
+	want := c.want(retryShare)
+	if why == handoverLoading {
+		want.Budget = c.unnoticedWait(want.Read)
 		want.Free = true
 	}
 	if c.events > 0 {
@@ -115,113 +118,113 @@
 	return want
 }
 
-// takeEvents passes events of a stream's server on, or holds them back while another
-// server is asked to go on.
-func (c *call) takeEvents(a *dispatch.Answer, events []byte) error {
-	c.passing.Lock()
-	defer c.passing.Unlock()
-	if h := c.handover; h != nil && !h.calledOff {
+// forwardOrBuffer forwards events of a stream to the caller, or buffers them during a handover.
+func (c *call) forwardOrBuffer(a *dispatch.Answer, events []byte) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if h := c.handover; h != nil && !h.cancelled {
 		if h.answer != nil {
 			return errHandedOver
 		}
-		if clock.Since(c.eventAt) < holdLimit {
-			c.held = append(c.held, events...)
+		if clock.Since(c.eventAt) < maxHandoverGap {
+			c.buffered = append(c.buffered, events...)
 			return nil
 		}
-		h.callOff()
+		h.cancel()
 	}
-	return c.release(a, events)
+	return c.forwardBuffered(a, events)
 }
 
-// endEvents ends a stream that its server has written to its end.
-func (c *call) endEvents(w *watchdog, a *dispatch.Answer) error {
-	c.passing.Lock()
-	defer c.passing.Unlock()
-	w.ended = true // nothing is handed over of what has ended
-	if h := c.handover; h != nil && !h.calledOff {
+// endStream ends a stream that its server has completed.
+func (c *call) endStream(w *watchdog, a *dispatch.Answer) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	w.ended = true // no handover may begin any more
+	if h := c.handover; h != nil && !h.cancelled {
 		if h.answer != nil {
 			return errHandedOver
 		}
-		h.callOff()
+		h.cancel()
 	}
 	c.commit(a) // a stream without events
-	return c.release(a, nil)
+	return c.forwardBuffered(a, nil)
 }
 
-// release passes the events on that were held back, and these. call.passing is held.
-func (c *call) release(a *dispatch.Answer, events []byte) error {
-	if len(c.held) > 0 {
-		events = append(c.held, events...)
-		c.held = nil
+// forwardBuffered forwards the buffered events, then these. call.mu must be locked.
+func (c *call) forwardBuffered(a *dispatch.Answer, events []byte) error {
+	if len(c.buffered) > 0 {
+		events = append(c.buffered, events...)
+		c.buffered = nil
 	}
 	if len(events) == 0 {
 		return nil
 	}
-	return c.passOn(a, events)
+	return c.writeEvents(a, events)
 }
 
-// settleHandover ends the watch over a server's stream, once it is known whether another
-// server has taken over; it returns the handover then. What was held back is passed on
-// if none has.
+// settleHandover ends the watch over an attempt and waits until its handover, if any, is settled.
+// It returns the handover if the other server has taken over; otherwise it forwards the
+// buffered events.
 func (c *call) settleHandover(w *watchdog, a *dispatch.Answer, err error) (*handover, error) {
-	c.passing.Lock()
+	c.mu.Lock()
 	w.ended = true
 	h := c.handover
 	if h != nil && h.answer == nil && (err == nil || errors.Is(err, errCallerGone)) {
-		h.callOff()
+		h.cancel()
 	}
-	c.passing.Unlock()
+	c.mu.Unlock()
 	if h != nil {
 		<-h.settled
 	}
-	c.passing.Lock()
-	defer c.passing.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	c.handover = nil
 	if h != nil && h.answer != nil {
-		c.held = nil
+		c.buffered = nil
 		return h, errHandedOver
 	}
 	if a != nil && err != nil && !errors.Is(err, errCallerGone) {
-		if gone := c.release(a, nil); gone != nil {
+		if gone := c.forwardBuffered(a, nil); gone != nil {
 			return nil, gone
 		}
 	}
 	return nil, err
 }
 
-// overtaken tells whether another server has taken over a request that the watched one
-// has not begun to answer, or has answered with a failure.
-func (c *call) overtaken(w *watchdog, err error) bool {
+// takenOver reports whether another server has taken over the request by the time that its first
+// attempt has failed, was refused or has returned a whole answer. If so, it ends that attempt.
+func (c *call) takenOver(w *watchdog, err error) bool {
 	h, _ := c.settleHandover(w, nil, err)
 	if h == nil {
 		return false
 	}
 	if err == nil || errors.Is(err, errRefused) {
-		h.why = moveAnswered
+		h.why = handoverAnswered
 	}
-	c.handedOver(h)
+	c.endHandedOver(h)
 	return true
 }
 
-// goOn passes on what the server writes that has taken a request or a stream over.
-func (c *call) goOn(h *handover) sendResult {
+// continueHandover forwards the answer of the server that has taken the request over.
+func (c *call) continueHandover(h *handover) attemptResult {
 	c.choice = h.choice
 	c.tried = append(c.tried, h.choice.Server)
 	defer h.next.stop()
 	defer h.answer.Close()
 	if c.route.Kind != fleet.KindStream {
-		return c.giveWhole(h.answer, h.read)
+		return c.writeWhole(h.answer, h.read)
 	}
 	if c.events == 0 {
-		c.version = "" // that of the first server binds nothing
+		c.version = "" // the caller has no events of the first server's version
 	}
 	h.next.begun.Store(true)
 	c.startWatch(h.next)
 	return c.stream(h.next, h.answer, h.read)
 }
 
-// releaseNext gives up the server that would go on with a stream whose caller left.
-func (c *call) releaseNext() {
+// dropNext ends the attempt at the server that has taken over a request whose caller has left or
+// whose deadline has passed.
+func (c *call) dropNext() {
 	h := c.next
 	if h == nil {
 		return
@@ -232,11 +235,11 @@
 	c.g.balancer.Done(&h.choice, clock.Now(), balance.EndedElse)
 }
 
-// logHandover writes one line for a step of a handover. call.passing is held.
+// logHandover writes one line for a step of a handover. call.mu must be locked.
 func (c *call) logHandover(what string, w *watchdog, h *handover, err error) {
 	event := c.g.log.Info()
 	if err != nil {
-		event.AnErr("cause", err).Bool("called_off", h.calledOff)
+		event.AnErr("cause", err).Bool("called_off", h.cancelled)
 	}
 	c.describe(event).Str("server", w.server.ID).Str("why", string(h.why)).Str("to", h.choice.Server.ID).
 		Float64("queue", h.choice.Queue).Int("slots", h.choice.Slots).Dur("wait_ms", h.choice.Wait).
--- a/internal/gateway/ask.go
+++ b/internal/gateway/handover_attempt.go
@@ -13,34 +13,34 @@
 	"lynxgate.dev/lynxgate/internal/fleet"
 )
 
-// askLimit is how long another server may take until it goes on. A full one refuses
-// within 0.3 s, one that reads prompts goes on within 1 s.
-const askLimit = 1200 * time.Millisecond
+// handoverTimeout is how long the other server may take until its first event. A full server
+// refuses within 0.3 s; one that first processes the prompt begins within 1 s.
+const handoverTimeout = 1200 * time.Millisecond
 
-// ask asks the other server, until it has written an event, or its whole answer, or has
-// refused.
-func (c *call) ask(w *watchdog, h *handover) {
+// runHandover sends the request to the other server and waits until that has written an event or
+// its whole answer, or the handover has failed.
+func (c *call) runHandover(w *watchdog, h *handover) {
 	defer close(h.settled)
-	limit := time.AfterFunc(c.askTime(h), h.next.cancel)
+	limit := time.AfterFunc(c.handoverTimeLeft(h), h.next.cancel)
 	defer limit.Stop()
-	answer, err := h.choice.Server.Pool.Send(h.next.ctx, h.request, c.by)
+	answer, err := h.choice.Server.Pool.Send(h.next.ctx, h.request, c.deadline)
 	if err != nil {
-		c.askFailed(w, h, balance.EndedFailed, err)
+		c.handoverFailed(w, h, balance.EndedFailed, err)
 		return
 	}
 	c.noteHead(&h.choice, answer)
 	read, ending, err := c.firstPart(h, answer)
 	if err != nil {
 		answer.Close()
-		c.askFailed(w, h, ending, err)
+		c.handoverFailed(w, h, ending, err)
 		return
 	}
-	c.passing.Lock()
-	defer c.passing.Unlock()
-	// A server that has nothing left to write can't go on where the first one has written
-	// more meanwhile.
-	behind := len(read) == 0 && len(c.held) > 0
-	if h.calledOff || behind || !limit.Stop() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	// The other server found nothing left to write, but the first one has written more
+	// events since it was asked.
+	behind := len(read) == 0 && len(c.buffered) > 0
+	if h.cancelled || behind || !limit.Stop() {
 		answer.Close()
 		c.dropHandover(w, h, balance.EndedElse, context.Canceled)
 		return
@@ -48,24 +48,24 @@
 	c.runs++
 	c.mayHaveRun = true
 	h.answer, h.read = answer, read
-	w.cancel() // the first server's work ends here
+	w.cancel() // ends the attempt at the first server
 }
 
-// askTime is how long the other server may take until it goes on: a request must not
-// begin there on weights that are over.
-func (c *call) askTime(h *handover) time.Duration {
+// handoverTimeLeft returns how long the other server may take until its first event: the request must
+// not begin there on expired weights.
+func (c *call) handoverTimeLeft(h *handover) time.Duration {
 	left, bounded := c.g.balancer.VersionLeft(c.model, h.choice.Version, clock.Now())
 	if !bounded {
-		return askLimit
+		return handoverTimeout
 	}
-	return min(askLimit, left-overGuard)
+	return min(handoverTimeout, left-weightsExpiryMargin)
 }
 
-// errRefused says that a server did not run the request.
+// errRefused means that a server did not run the request.
 var errRefused = errors.New("not run")
 
-// firstPart reads the first whole events of a stream, or a whole answer in one piece. If
-// the server does not go on, it tells how the send ended.
+// firstPart reads the first whole events of a stream, or the whole of a non-streaming answer. On
+// failure it returns how the attempt ended for the balancer.
 func (c *call) firstPart(h *handover, a *dispatch.Answer) ([]byte, balance.Ending, error) {
 	switch {
 	case c.isNotRun(a):
@@ -75,21 +75,21 @@
 		return nil, balance.EndedFailed, errors.New("no signed answer: " + strconv.Itoa(a.StatusCode))
 	}
 	h.began = true
-	a.ReadBy(c.by)
+	a.ReadBy(c.deadline)
 	if c.route.Kind != fleet.KindStream {
-		body, err := readWhole(a, c.by)
+		body, err := readWhole(a, c.deadline)
 		return body, balance.EndedFailed, err
 	}
 	buf := make([]byte, 0, streamBuffer)
 	for wholeEvents(buf) == 0 {
 		var err error
-		if buf, err = roomFor(buf); err != nil {
+		if buf, err = growBuffer(buf); err != nil {
 			return nil, balance.EndedFailed, err
 		}
 		n, err := a.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
 		if err == io.EOF && len(buf) == 0 {
-			return nil, 0, nil // nothing is left to write
+			return nil, 0, nil // the stream has no further events
 		}
 		if err != nil && wholeEvents(buf) == 0 {
 			return nil, balance.EndedFailed, err
@@ -98,13 +98,13 @@
 	return buf, 0, nil
 }
 
-// askFailed leaves the stream at its first server.
-func (c *call) askFailed(w *watchdog, h *handover, ending balance.Ending, err error) {
-	c.passing.Lock()
-	defer c.passing.Unlock()
+// handoverFailed ends a failed handover; the request stays at its first server.
+func (c *call) handoverFailed(w *watchdog, h *handover, ending balance.Ending, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
 	case h.next.ctx.Err() != nil:
-		ending = balance.EndedElse // ended by us: it tells nothing of the server
+		ending = balance.EndedElse // cancelled here, which says nothing about the server
 	case errors.Is(err, dispatch.ErrNoConnection):
 		ending = balance.EndedBusy
 	}
@@ -112,28 +112,28 @@
 		c.tried = append(c.tried, h.choice.Server)
 	}
 	if ending == balance.EndedFailed && !errors.Is(err, dispatch.ErrNotSent) {
-		h.began = true // it may have
-		go c.noteEnd(h.choice.Server, err)
+		h.began = true // it may have begun
+		go c.noteCrash(h.choice.Server, err)
 	}
 	c.dropHandover(w, h, ending, err)
 }
 
-// dropHandover ends a handover that failed. call.passing is held.
+// dropHandover removes a failed handover from the call and counts it. call.mu must be locked.
 func (c *call) dropHandover(w *watchdog, h *handover, ending balance.Ending, err error) {
 	c.handover = nil
 	if errors.Is(err, dispatch.ErrNotSent) {
-		c.sends--
+		c.attempts--
 	}
 	if h.began {
 		c.runs++
 	}
 	if !errors.Is(err, dispatch.ErrNotSent) && !errors.Is(err, errRefused) {
-		c.mayHaveRun = true // whatever we have heard of it
+		c.mayHaveRun = true // even if no answer was received
 		if !h.began {
-			c.unheard++
+			c.unanswered++
 		}
 	}
 	h.next.cancel()
 	c.g.balancer.Done(&h.choice, clock.Now(), ending)
-	c.logHandover("request stays at its server", w, h, err)
+	c.logHandover("handover failed; the request stays at its server", w, h, err)
 }
--- a/internal/gateway/runs_counted_test.go
+++ b/internal/gateway/handover_count_test.go
@@ -12,7 +12,7 @@
 	"lynxgate.dev/lynxgate/internal/standstill"
 )
 
-func TestServersThatBeganAndAreCalledOffCountAsRuns(t *testing.T) {
+func TestCancelledHandoversThatBeganCountAsRuns(t *testing.T) {
 	const count, pause = 19, 100 * time.Millisecond
 	loads := newBackend(t, "b-loads", slowEvents(count, pause))
 	var e *entry
@@ -22,9 +22,9 @@
 			w.Header().Set(headers.Signature, "signed")
 			w.Header().Set(headers.Version, "7")
 			_, _ = io.Copy(io.Discard, r.Body)
-			fmt.Fprint(w, "id: 9\nda") // it has begun, and stops in the middle of an event
+			fmt.Fprint(w, "id: 9\nda") // the server has begun, and stops in the middle of an event
 			_ = http.NewResponseController(w).Flush()
-			e.report(t, others[id], true, 7) // the next one is another
+			e.report(t, others[id], true, 7) // the next handover goes to the other server
 			<-r.Context().Done()
 		})
 	}
@@ -35,14 +35,13 @@
 	assert.Len(t, append(others["b-2"].requests(), others["b-3"].requests()...), 1, "the route allows two servers")
 }
 
-// TestServersCalledOffBeforeTheyAnswerCountForMoves: a server that was sent the rest of a
-// stream and is called off before it answers may have begun all the same. Its server's load
-// is no reason to ask a third one.
-func TestServersCalledOffBeforeTheyAnswerCountForMoves(t *testing.T) {
-	standstill.Judge(t, testServersCalledOffBeforeTheyAnswerCountForMoves)
+// TestUnansweredHandoversCountAgainstLaterOnes: a server whose handover is cancelled before it
+// answers may have begun all the same, so a loading server is no reason for a third attempt.
+func TestUnansweredHandoversCountAgainstLaterOnes(t *testing.T) {
+	standstill.Judge(t, testUnansweredHandoversCountAgainstLaterOnes)
 }
 
-func testServersCalledOffBeforeTheyAnswerCountForMoves(t testing.TB) {
+func testUnansweredHandoversCountAgainstLaterOnes(t testing.TB) {
 	const count, pause = 19, 100 * time.Millisecond
 	loads := newBackend(t, "b-loads", slowEvents(count, pause))
 	var e *entry
@@ -50,7 +49,7 @@
 	for _, id := range []string{"b-2", "b-3"} {
 		others[id] = newBackend(t, id, func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
-			e.report(t, others[id], true, 7) // the next one is another
+			e.report(t, others[id], true, 7) // the next handover goes to the other server
 			<-r.Context().Done()
 		})
 	}
--- a/internal/gateway/large_event_test.go
+++ b/internal/gateway/handover_large_event_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestStreamGoesOnWithALargeEvent(t *testing.T) {
+func TestHandoverWithALargeFirstEvent(t *testing.T) {
 	const count, pause = 15, 100 * time.Millisecond
 	large := "id: 15\ndata: " + strings.Repeat("x", 2*streamBuffer) + "\n\n"
 	loads := newBackend(t, "b-loads", slowEvents(count, pause))
@@ -25,6 +25,6 @@
 	time.AfterFunc(pause, func() { e.report(t, loads, true, 7) })
 	a := e.ask(t, http.MethodPost, "/stream/x")
 	require.NoError(t, a.err)
-	assert.True(t, strings.HasSuffix(a.body, large), "the other server goes on")
+	assert.True(t, strings.HasSuffix(a.body, large), "the other server continues the stream")
 	assert.NotContains(t, e.logs.String(), "too large")
 }
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -21,23 +21,6 @@
 	"lynxgate.dev/lynxgate/internal/standstill"
 )
 
-// What users saw: while entries were being stopped under load and engines rolled to
-// new weights, callers' connections were closed in the middle of their streams.
-//
-// Order of events: an engine with running streams is told to load new weights and
-// waits for them to end; the entry takes a stream from it, since another engine is
-// predicted to have room; that engine refuses, for the reports behind the
-// prediction are 0.1 to 0.3 s old; the other ones load, or hold the new weights
-// already, which the begun stream may not be continued on; after some refusals
-// the entry closes the caller's connection.
-//
-// Cause: the running stream was given up before its next place was certain.
-//
-// Evidence: for each cut stream of three played days the entry's lines read
-// ended_by "entry: moved to another server", one to three times "backend server did
-// not run it: 503" within 0.5 s, then "no backend server can take it" or "all
-// attempts are used". The engine that the stream was taken from was sound.
-
 // slowEvents writes n events with a pause between them.
 func slowEvents(n int, pause time.Duration) func(w http.ResponseWriter, r *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -66,8 +49,8 @@
 	return all.String()
 }
 
-// report tells the entry what a backend holds and whether it is about to load, until
-// the test ends.
+// report sends the entry reports of a backend's version of the weights, and whether it waits to
+// load others, until the test ends.
 func (e *entry) report(t testing.TB, b *backend, loading bool, version uint64) {
 	t.Helper()
 	tell := func() {
@@ -89,18 +72,20 @@
 	}()
 }
 
-// onlyEngines leaves the backends as servers of the service engine only.
+// onlyEngines removes the backends from all services but engine.
 func (e *entry) onlyEngines() {
 	view := *e.view.Load()
 	view.Servers = map[string][]*fleet.BackendServer{"engine": view.Servers["engine"]}
 	e.SetView(&view)
 }
 
-func TestRunningStreamIsKeptUntilAnotherServerGoesOnWithIt(t *testing.T) {
-	standstill.Judge(t, testRunningStreamIsKeptUntilAnotherServerGoesOnWithIt)
+// TestStreamStaysAtItsServerUntilAnotherOneContinues: a stream was taken from an engine that waited to load, by
+// reports 0.1 to 0.3 s old; the others refused it (503) or had new weights, and it was cut within 0.5 s.
+func TestStreamStaysAtItsServerUntilAnotherOneContinues(t *testing.T) {
+	standstill.Judge(t, testStreamStaysAtItsServerUntilAnotherOneContinues)
 }
 
-func testRunningStreamIsKeptUntilAnotherServerGoesOnWithIt(t testing.TB) {
+func testStreamStaysAtItsServerUntilAnotherOneContinues(t testing.TB) {
 	const count, pause = 15, 100 * time.Millisecond
 	loads := newBackend(t, "b-loads", slowEvents(count, pause))
 	full := newBackend(t, "b-full", notRun)
@@ -113,12 +98,12 @@
 	a := e.ask(t, http.MethodPost, "/stream/x")
 	require.NoError(t, a.err, e.logs.String())
 	assert.Equal(t, slowStream(count), a.body)
-	assert.NotEmpty(t, full.requests(), "another server was asked to go on")
+	assert.NotEmpty(t, full.requests(), "a handover was tried")
 	assert.Empty(t, rolled.requests(), "a begun stream stays on its version")
 }
 
-// cancelled counts the requests that are cancelled while serve works on them.
-func cancelled(serve func(w http.ResponseWriter, r *http.Request), ended *atomic.Int64) func(w http.ResponseWriter, r *http.Request) {
+// countingCancelled counts the requests that are cancelled while serve runs them.
+func countingCancelled(serve func(w http.ResponseWriter, r *http.Request), ended *atomic.Int64) func(w http.ResponseWriter, r *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		serve(w, r)
 		if r.Context().Err() != nil {
@@ -127,16 +112,16 @@
 	}
 }
 
-func TestStreamGoesOnAtTheServerThatHasBegun(t *testing.T) {
-	standstill.Judge(t, testStreamGoesOnAtTheServerThatHasBegun)
+func TestStreamIsHandedOverToTheServerThatHasBegun(t *testing.T) {
+	standstill.Judge(t, testStreamIsHandedOverToTheServerThatHasBegun)
 }
 
-func testStreamGoesOnAtTheServerThatHasBegun(t testing.TB) {
+func testStreamIsHandedOverToTheServerThatHasBegun(t testing.TB) {
 	const count, pause = 15, 100 * time.Millisecond
 	var left atomic.Int64
-	loads := newBackend(t, "b-loads", cancelled(slowEvents(count, pause), &left))
+	loads := newBackend(t, "b-loads", countingCancelled(slowEvents(count, pause), &left))
 	free := newBackend(t, "b-free", func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(pause) // reads the prompt: events of the first server come meanwhile
+		time.Sleep(pause) // processes the prompt; the first server writes events meanwhile
 		slowEvents(count, pause/10)(w, r)
 	})
 	e := newEntry(t, loads, free)
@@ -145,25 +130,25 @@
 
 	a := e.ask(t, http.MethodPost, "/stream/x")
 	require.NoError(t, a.err, e.logs.String())
-	assert.Equal(t, slowStream(count), a.body, "each event once, of one run after the other")
+	assert.Equal(t, slowStream(count), a.body, "each event once, from one server after the other")
 	require.Len(t, free.requests(), 1)
 	after, err := strconv.Atoi(free.requests()[0].Header.Get(headers.ResumeAfter))
 	require.NoError(t, err)
 	assert.Less(t, after, count)
 	assert.Positive(t, after)
 	assert.Equal(t, "7", free.requests()[0].Header.Get(headers.ExpectVersion))
-	assert.Eventually(t, func() bool { return left.Load() == 1 }, time.Second, 10*time.Millisecond, "the first server works on")
+	assert.Eventually(t, func() bool { return left.Load() == 1 }, time.Second, 10*time.Millisecond, "the request at the first server was not cancelled")
 	e.assertNothingInFlight(t)
 }
 
-func TestSlowHandoverIsCalledOff(t *testing.T) { standstill.Judge(t, testSlowHandoverIsCalledOff) }
+func TestSlowHandoverIsCancelled(t *testing.T) { standstill.Judge(t, testSlowHandoverIsCancelled) }
 
-func testSlowHandoverIsCalledOff(t testing.TB) {
+func testSlowHandoverIsCancelled(t testing.TB) {
 	const count, pause = 15, 100 * time.Millisecond
 	loads := newBackend(t, "b-loads", slowEvents(count, pause))
 	var left atomic.Int64
-	slow := newBackend(t, "b-slow", cancelled(func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // only then a closed connection is noticed
+	slow := newBackend(t, "b-slow", countingCancelled(func(_ http.ResponseWriter, r *http.Request) {
+		_, _ = io.Copy(io.Discard, r.Body) // the context ends on a closed connection only after this
 		<-r.Context().Done()
 	}, &left))
 	e := newEntry(t, loads, slow)
@@ -176,17 +161,17 @@
 		longest = max(longest, at[i].Sub(at[i-1]))
 	}
 	assert.Equal(t, slowStream(count), a)
-	assert.Less(t, longest, holdLimit+2*pause, "the caller is not kept waiting for the other server")
+	assert.Less(t, longest, maxHandoverGap+2*pause, "the caller does not wait for the other server")
 	assert.NotEmpty(t, slow.requests())
 	assert.Eventually(t, func() bool { return left.Load() == int64(len(slow.requests())) }, time.Second, 10*time.Millisecond)
 	e.assertNothingInFlight(t)
 }
 
-func TestStreamGoesOnWhereItsServerFailsDuringAHandover(t *testing.T) {
-	standstill.Judge(t, testStreamGoesOnWhereItsServerFailsDuringAHandover)
+func TestStreamContinuesIfItsServerFailsDuringAHandover(t *testing.T) {
+	standstill.Judge(t, testStreamContinuesIfItsServerFailsDuringAHandover)
 }
 
-func testStreamGoesOnWhereItsServerFailsDuringAHandover(t testing.TB) {
+func testStreamContinuesIfItsServerFailsDuringAHandover(t testing.TB) {
 	const count, pause = 15, 100 * time.Millisecond
 	asked := make(chan struct{})
 	var once sync.Once
@@ -238,15 +223,15 @@
 	assert.Equal(t, int64(6), arrivals.Load())
 }
 
-// A connection may go silent for good while its server goes on: the server is heard, by
-// other requests, and is not set aside.
-func TestStreamLeavesAConnectionThatWentSilent(t *testing.T) {
-	standstill.Judge(t, testStreamLeavesAConnectionThatWentSilent)
+// TestStreamIsHandedOverFromASilentConnection: a connection is dead, but its server still writes to
+// other requests and is not ejected.
+func TestStreamIsHandedOverFromASilentConnection(t *testing.T) {
+	standstill.Judge(t, testStreamIsHandedOverFromASilentConnection)
 }
 
-func testStreamLeavesAConnectionThatWentSilent(t testing.TB) {
+func testStreamIsHandedOverFromASilentConnection(t testing.TB) {
 	silent := newBackend(t, "1", func(w http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // only then a closed connection is noticed
+		_, _ = io.Copy(io.Discard, r.Body) // the context ends on a closed connection only after this
 		w.Header().Set(headers.Signature, "signed")
 		w.Header().Set(headers.Version, "7")
 		fmt.Fprint(w, "id: 1\ndata: 1\n\n")
@@ -272,27 +257,27 @@
 	require.Len(t, other.requests(), 1)
 	assert.Equal(t, "1", other.requests()[0].Header.Get(headers.ResumeAfter))
 	again, _ := e.balancer.Pick(time.Now(), balance.Want{Service: "engine", Model: "m", Budget: time.Hour})
-	assert.Equal(t, "1", again.Server.ID, "the server is not set aside")
+	assert.Equal(t, "1", again.Server.ID, "the server is not ejected")
 	assert.Contains(t, e.logs.String(), "nothing came over the connection")
 }
 
-func TestStreamThatNoServerCanEverGoOnWithIsEndedAtOnce(t *testing.T) {
-	standstill.Judge(t, testStreamThatNoServerCanEverGoOnWithIsEndedAtOnce)
+func TestStreamThatNoServerCanResumeEndsAtOnce(t *testing.T) {
+	standstill.Judge(t, testStreamThatNoServerCanResumeEndsAtOnce)
 }
 
-func testStreamThatNoServerCanEverGoOnWithIsEndedAtOnce(t testing.TB) {
+func testStreamThatNoServerCanResumeEndsAtOnce(t testing.TB) {
 	rolled := newBackend(t, "b-rolled", events(0))
 	e := newEntry(t, newBackend(t, "b-breaks", events(2)), rolled)
 	e.onlyEngines()
 	e.report(t, rolled, false, 8)
 	began := time.Now()
 	a := e.ask(t, http.MethodPost, "/stream/x")
-	assert.Error(t, a.err, "it does not look whole")
+	assert.Error(t, a.err, "the stream does not look complete")
 	assert.Less(t, time.Since(began), 500*time.Millisecond)
 	assert.Empty(t, rolled.requests())
 }
 
-// askEvents sends a request and returns the answer's body and when its parts came.
+// askEvents sends a request and returns the answer's body and the times at which its parts arrived.
 func (e *entry) askEvents(t testing.TB, path string) (string, []time.Time) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, e.URL+path, strings.NewReader("body"))
@@ -321,19 +306,19 @@
 	}
 }
 
-// assertNothingInFlight checks that each place that was taken at a server was given back.
+// assertNothingInFlight checks that each slot taken at a server has been freed.
 func (e *entry) assertNothingInFlight(t testing.TB) {
 	t.Helper()
 	assert.Eventually(t, func() bool { return e.InFlight() == 0 && e.balancer.InFlight() == 0 }, time.Second, 10*time.Millisecond)
 }
 
-func TestSlowWholeAnswerIsKeptUntilAnotherServerHasAnswered(t *testing.T) {
-	standstill.Judge(t, testSlowWholeAnswerIsKeptUntilAnotherServerHasAnswered)
+func TestSlowServerKeepsItsRequestUntilAnotherHasAnswered(t *testing.T) {
+	standstill.Judge(t, testSlowServerKeepsItsRequestUntilAnotherHasAnswered)
 }
 
-func testSlowWholeAnswerIsKeptUntilAnotherServerHasAnswered(t testing.TB) {
+func testSlowServerKeepsItsRequestUntilAnotherHasAnswered(t testing.TB) {
 	slow := func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(800 * time.Millisecond) // twice the objective is 400 ms
+		time.Sleep(800 * time.Millisecond) // the handover begins after 400 ms, twice the objective
 		good(w, r)
 	}
 	full := newBackend(t, "b-full", notRun)
@@ -342,12 +327,12 @@
 	require.NoError(t, a.err)
 	assert.Equal(t, http.StatusOK, a.status, e.logs.String())
 	assert.Equal(t, "POST /safe/x body", a.body)
-	assert.Len(t, full.requests(), 1, "another server was asked, once")
+	assert.Len(t, full.requests(), 1, "a handover was tried once")
 	e.assertNothingInFlight(t)
 
 	var left atomic.Int64
-	hangs := cancelled(func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // only then a closed connection is noticed
+	hangs := countingCancelled(func(_ http.ResponseWriter, r *http.Request) {
+		_, _ = io.Copy(io.Discard, r.Body) // the context ends on a closed connection only after this
 		<-r.Context().Done()
 	}, &left)
 	e = newEntry(t, newBackend(t, "b-hangs", hangs), newBackend(t, "b-2", good))
@@ -355,15 +340,15 @@
 	a = e.ask(t, http.MethodPost, "/safe/x")
 	assert.Equal(t, "POST /safe/x body", a.body)
 	assert.Less(t, time.Since(began), time.Second)
-	assert.Eventually(t, func() bool { return left.Load() == 1 }, time.Second, 10*time.Millisecond, "the first server works on")
+	assert.Eventually(t, func() bool { return left.Load() == 1 }, time.Second, 10*time.Millisecond, "the request at the first server was not cancelled")
 	e.assertNothingInFlight(t)
 }
 
-func TestRequestAtASilentServerIsKeptUntilAnotherServerHasBegun(t *testing.T) {
-	standstill.Judge(t, testRequestAtASilentServerIsKeptUntilAnotherServerHasBegun)
+func TestSilentServerKeepsItsRequestUntilAnotherHasBegun(t *testing.T) {
+	standstill.Judge(t, testSilentServerKeepsItsRequestUntilAnotherHasBegun)
 }
 
-func testRequestAtASilentServerIsKeptUntilAnotherServerHasBegun(t testing.TB) {
+func testSilentServerKeepsItsRequestUntilAnotherHasBegun(t testing.TB) {
 	wakes := func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(1200 * time.Millisecond) // silent after 600 ms
 		events(0)(w, r)
@@ -375,7 +360,7 @@
 	require.NoError(t, a.err, e.logs.String())
 	assert.Equal(t, http.StatusOK, a.status)
 	assert.Equal(t, wholeStream, a.body)
-	assert.NotEmpty(t, full.requests(), "another server was asked")
+	assert.NotEmpty(t, full.requests(), "a handover was tried")
 	e.assertNothingInFlight(t)
 
 	e = newEntry(t, newBackend(t, "b-hangs", func(_ http.ResponseWriter, r *http.Request) {
@@ -390,39 +375,39 @@
 	e.assertNothingInFlight(t)
 }
 
-func TestOtherServerIsNotWaitedForUntilItsWeightsAreOver(t *testing.T) {
+func TestHandoverTimeoutEndsBeforeTheWeightsExpire(t *testing.T) {
 	e := newEntry(t, newBackend(t, "b-1", good))
 	c := &call{g: e.Gateway, model: "m"}
 	h := &handover{choice: balance.Choice{Version: 7}}
-	assert.Equal(t, askLimit, c.askTime(h))
+	assert.Equal(t, handoverTimeout, c.handoverTimeLeft(h))
 	view := *e.view.Load()
 	view.Versions = map[string]ledger.Version{"m": ledger.Version{}.Next(8, time.Now().Add(-7*time.Second))}
-	e.SetView(&view) // 7 is over in 1 s
-	assert.LessOrEqual(t, c.askTime(h), time.Second-overGuard)
+	e.SetView(&view) // version 7 expires in 1 s
+	assert.LessOrEqual(t, c.handoverTimeLeft(h), time.Second-weightsExpiryMargin)
 	h.choice.Version = 8
-	assert.Equal(t, askLimit, c.askTime(h))
+	assert.Equal(t, handoverTimeout, c.handoverTimeLeft(h))
 }
 
-func TestWaitingRequestIsLookedAtWhenItIsToBeTakenBack(t *testing.T) {
-	assert.Equal(t, silenceCheck, nextCheck(0, false), "no newer version was named")
-	assert.Equal(t, silenceCheck, nextCheck(5*time.Second, true))
-	assert.Equal(t, 50*time.Millisecond, nextCheck(overGuard+50*time.Millisecond, true))
+func TestNextCheckFallsOnTheTimeToCancel(t *testing.T) {
+	assert.Equal(t, silenceCheckInterval, nextCheckDelay(0, false), "no newer version was announced")
+	assert.Equal(t, silenceCheckInterval, nextCheckDelay(5*time.Second, true))
+	assert.Equal(t, 50*time.Millisecond, nextCheckDelay(weightsExpiryMargin+50*time.Millisecond, true))
 }
 
-func TestRequestThatAnotherServerMayHaveRunIsNotSaidToBeNotRun(t *testing.T) {
-	standstill.Judge(t, testRequestThatAnotherServerMayHaveRunIsNotSaidToBeNotRun)
+func TestRequestThatAHandoverMayHaveRunIsNotReportedAsNotRun(t *testing.T) {
+	standstill.Judge(t, testRequestThatAHandoverMayHaveRunIsNotReportedAsNotRun)
 }
 
-func testRequestThatAnotherServerMayHaveRunIsNotSaidToBeNotRun(t testing.TB) {
-	refuses := newBackend(t, "b-refuses", late(500*time.Millisecond, notRun))
+func testRequestThatAHandoverMayHaveRunIsNotReportedAsNotRun(t testing.TB) {
+	refuses := newBackend(t, "b-refuses", delayed(500*time.Millisecond, notRun))
 	hangs := newBackend(t, "b-hangs", func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // only then a closed connection is noticed
+		_, _ = io.Copy(io.Discard, r.Body) // the context ends on a closed connection only after this
 		<-r.Context().Done()
 	})
 	e := newEntry(t, refuses, hangs)
 	a := e.ask(t, http.MethodPost, "/safe/x")
 	require.NoError(t, a.err)
-	require.Len(t, hangs.requests(), 1, "asked after twice the objective")
-	assert.Equal(t, http.StatusBadGateway, a.status, "the second one may have run it")
+	require.Len(t, hangs.requests(), 1, "the handover begins after twice the objective")
+	assert.Equal(t, http.StatusBadGateway, a.status, "the second server may have run it")
 	e.assertNothingInFlight(t)
 }
--- a/internal/gateway/started_again_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -13,9 +13,9 @@
 	"lynxgate.dev/lynxgate/internal/fleet"
 )
 
-// setBorn tells the entry of a start of a backend under the id that it has, and of what
-// it holds.
-func (e *entry) setBorn(b *backend, born int64, models []fleet.Loaded) {
+// setIncarnation announces a new incarnation of a backend under its id, and the models that it has
+// loaded.
+func (e *entry) setIncarnation(b *backend, born int64, models []fleet.Loaded) {
 	view := *e.view.Load()
 	records := make([]*fleet.BackendServer, 0, len(view.Servers["engine"]))
 	for _, r := range view.Servers["engine"] {
@@ -29,11 +29,11 @@
 	e.SetView(&view)
 }
 
-// hangsAfter writes one event and then nothing, on a connection that stays open: its
-// server crashed behind a link that lost its last packets, and has started again.
-func hangsAfter(one bool) func(w http.ResponseWriter, r *http.Request) {
+// hanging writes nothing, or one event and then nothing, on a connection that stays open, like a
+// server that crashed and restarted behind a link that lost its last packets.
+func hanging(one bool) func(w http.ResponseWriter, r *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // only then a closed connection is noticed
+		_, _ = io.Copy(io.Discard, r.Body) // the context ends on a closed connection only after this
 		if one {
 			w.Header().Set(headers.Signature, "signed")
 			w.Header().Set(headers.Version, "7")
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestRequestsAtAFormerStartAreEnded: a backend server starts again under its id while
-// requests wait there.
-func TestRequestsAtAFormerStartAreEnded(t *testing.T) {
+// TestRequestsAtAnEarlierIncarnationAreEnded: a backend server restarts under its id while requests
+// wait there.
+func TestRequestsAtAnEarlierIncarnationAreEnded(t *testing.T) {
 	for name, c := range map[string]struct {
 		path, body string
 		begun      bool
@@ -58,12 +58,12 @@
 		"a stream that must not go on": {"/once/x", "id: 1\ndata: 1\n\n", true, http.StatusOK},
 	} {
 		t.Run(name, func(t *testing.T) {
-			former := newBackend(t, "b-1", hangsAfter(c.begun))
+			former := newBackend(t, "b-1", hanging(c.begun))
 			e := newEntry(t, former, newBackend(t, "b-2", events(0)))
 			e.onlyEngines()
-			e.setBorn(former, 1000, []fleet.Loaded{{Model: "m", Version: 7}})
-			// Before nothing from the server counts as silence.
-			time.AfterFunc(100*time.Millisecond, func() { e.setBorn(former, 2000, nil) })
+			e.setIncarnation(former, 1000, []fleet.Loaded{{Model: "m", Version: 7}})
+			// Early enough that the server does not count as silent yet.
+			time.AfterFunc(100*time.Millisecond, func() { e.setIncarnation(former, 2000, nil) })
 			began := time.Now()
 			a := e.ask(t, http.MethodPost, c.path)
 			assert.Less(t, time.Since(began), 500*time.Millisecond, "at once")
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// limited answers well, and names a limit of requests a second.
+// limited answers with serve and states a limit in requests a second.
 func limited(rate string, serve func(http.ResponseWriter, *http.Request)) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(headers.Limit, rate)
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestCallersAreToldWhenALimitedServerMayBeAskedAgain(t *testing.T) {
+func TestRetryAfterIsWhenALimitedServerIsAvailable(t *testing.T) {
 	b := newBackend(t, "b-1", limited("0.5", good))
 	e := newEntry(t, b)
 	require.Equal(t, http.StatusOK, e.ask(t, "POST", "/unsafe/1").status)
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestRestOfAStreamHeedsALimit(t *testing.T) {
+func TestRestOfAStreamRespectsALimit(t *testing.T) {
 	b1 := newBackend(t, "b-1", limited("2", events(0)))
 	b2 := newBackend(t, "b-2", events(2))
 	e := newEntry(t, b1, b2)
@@ -65,12 +65,12 @@
 	assert.Len(t, b2.requests(), 1)
 }
 
-func TestRequestWaitsForALimitedServerThatOpensInTime(t *testing.T) {
+func TestRequestWaitsForALimitedServerThatIsAvailableInTime(t *testing.T) {
 	b := newBackend(t, "b-1", limited("40", events(0)))
 	e := newEntry(t, b)
 	e.onlyEngines()
 	require.Equal(t, http.StatusOK, e.ask(t, "POST", "/stream/1").status)
 	assert.Equal(t, http.StatusOK, e.ask(t, "POST", "/stream/2").status)
 	assert.Len(t, b.requests(), 2)
-	assert.Zero(t, e.rooms.count.Load())
+	assert.Zero(t, e.queues.count.Load())
 }
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -7,62 +7,63 @@
 )
 
 const (
-	// moveAfter is how long a server that is to load may go on with its streams
-	// before another one is asked for them: the server is out until the last of them has
-	// ended, and most that have almost ended by then end by themselves.
-	moveAfter = 200 * time.Millisecond
-	// moveShare of the objective is the longest predicted time until the other
-	// server goes on: a pause must not be noticed.
-	moveShare = 0.6
-	// streamSilence is after how long without an event a stream is asked of another server,
-	// though its own one goes on with others: its connection may have gone silent for good.
-	// Engines write to all their requests about every 60 ms, and callers leave after 2 s.
-	streamSilence = 800 * time.Millisecond
+	// loadingGrace is how long a server that waits to load weights keeps its streams before
+	// they are handed over. The server takes no requests until the last stream has ended;
+	// within this time, most streams that are almost complete end on their own.
+	loadingGrace = 200 * time.Millisecond
+	// unnoticedShare is the part of the objective within which the other server must be
+	// predicted to continue, so that the caller does not notice the pause.
+	unnoticedShare = 0.6
+	// streamSilenceTimeout is the time without an event after which a stream is handed over
+	// although its server still writes to others: its connection may be dead. Engines write to
+	// all their requests about every 60 ms, and callers leave after 2 s.
+	streamSilenceTimeout = 800 * time.Millisecond
 )
 
-// moveReason is why another server is asked to go on with a request.
-type moveReason string
+// handoverReason is why a handover is begun.
+type handoverReason string
 
 const (
-	// moveLoading: its server waits for its last streams to end, so that it can load.
-	moveLoading moveReason = "moved to another server"
-	// moveServerSilent: nothing comes from the server, for this stream and others.
-	moveServerSilent moveReason = "nothing came from the server"
-	// moveConnectionSilent: nothing comes for this stream.
-	moveConnectionSilent moveReason = "nothing came over the connection"
-	// moveAnswered: the server has answered after all, and tells nothing by that.
-	moveAnswered moveReason = "another server was faster"
-	// moveLate: an answer in one piece takes long.
-	moveLate moveReason = "no answer came from the server"
+	// handoverLoading: the server waits for its last streams to end, to load weights then.
+	handoverLoading handoverReason = "moved to another server"
+	// handoverServerSilent: the server sends nothing, for this stream or others.
+	handoverServerSilent handoverReason = "nothing came from the server"
+	// handoverConnectionSilent: the server sends nothing for this stream only.
+	handoverConnectionSilent handoverReason = "nothing came over the connection"
+	// handoverAnswered: the server answered or refused after all, but later than the other one,
+	// which does not count as silence.
+	handoverAnswered handoverReason = "another server was faster"
+	// handoverLate: a non-streaming answer takes too long.
+	handoverLate handoverReason = "no answer came from the server"
 )
 
-// moveReason tells whether another server should be asked to go on with a request, and
-// why; it is empty if not.
-func (c *call) moveReason(w *watchdog, now time.Time) moveReason {
+// handoverReason returns why the attempt that w watches should be handed over, empty if it should
+// not.
+func (c *call) handoverReason(w *watchdog, now time.Time) handoverReason {
 	switch {
 	case !c.route.Idempotent():
 		return ""
 	case c.route.Kind != fleet.KindStream:
-		if c.route.Objective > 0 && now.Sub(w.sentAt) >= wholeStall*c.route.Objective {
-			return moveLate
+		if c.route.Objective > 0 && now.Sub(w.sentAt) >= wholeStallFactor*c.route.Objective {
+			return handoverLate
 		}
 	case c.g.balancer.Silent(w.server, now):
-		return moveServerSilent
+		return handoverServerSilent
 	case !w.begun.Load():
-	case c.pausedFor(now) > streamSilence:
-		return moveConnectionSilent
-	case c.g.balancer.LoadingSince(w.server, now, moveAfter):
-		return moveLoading
+	case c.pausedFor(now) > streamSilenceTimeout:
+		return handoverConnectionSilent
+	case c.g.balancer.LoadingSince(w.server, now, loadingGrace):
+		return handoverLoading
 	}
 	return ""
 }
 
-// pausedFor is for how long no event has come; 0 while some are passed on, since the
-// caller may take them slowly.
+// pausedFor returns the time since the last event; 0 while events are being written, since the
+// caller may read them slowly.
 func (c *call) pausedFor(now time.Time) time.Duration {
-	if !c.passing.TryLock() {
+	if !c.mu.TryLock() {
 		return 0
 	}
-	defer c.passing.Unlock()
+	defer c.mu.Unlock()
 	return now.Sub(c.eventAt)
 }
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -10,40 +10,40 @@
 	"lynxgate.dev/lynxgate/internal/clock"
 )
 
-// Metrics counts what happens to requests.
+// Metrics are the metrics of a Gateway.
 type Metrics struct {
 	requests *prometheus.CounterVec
-	sends    *prometheus.CounterVec
+	attempts *prometheus.CounterVec
 	first    *prometheus.HistogramVec
 	whole    *prometheus.HistogramVec
 	wait     *prometheus.HistogramVec
 	gap      *prometheus.HistogramVec
-	// sizes counts what requests to engines got, by their prompt.
+	// sizes counts the results of requests to engines, by size of the prompt.
 	sizes *prometheus.CounterVec
-	// room is how long requests waited for room, by whether they got it.
-	room *prometheus.HistogramVec
-	// interrupted counts streams whose server stopped to write them before their end.
+	// slotWait is the time in the wait queue, by whether the request got a slot.
+	slotWait *prometheus.HistogramVec
+	// interrupted counts streams whose server stopped writing before their end.
 	interrupted *prometheus.CounterVec
-	// broken counts sends that broke off by the fault of a server or the way to it, by
+	// failedAttempts counts attempts that failed because of a server or the connection to it, by
 	// whether an answer had begun.
-	broken *prometheus.CounterVec
-	// signalSends counts sends to servers that were known to have said something of themselves.
-	signalSends *prometheus.CounterVec
-	// heldBack counts requests that were not sent, or not again, for what is known of them.
-	heldBack *prometheus.CounterVec
+	failedAttempts *prometheus.CounterVec
+	// throttledAttempts counts attempts at servers that were known to be throttled.
+	throttledAttempts *prometheus.CounterVec
+	// suspectRefusals counts requests that ended without a further attempt because of their content.
+	suspectRefusals *prometheus.CounterVec
 	// Gauges that Run sets once a second.
 	budgetLeft    *prometheus.GaugeVec
 	directoryAge  *prometheus.GaugeVec
 	unseen        *prometheus.GaugeVec
 	signals       *prometheus.GaugeVec
 	configVersion prometheus.Gauge
-	// suspect is how many pieces of work were at servers that ended.
+	// suspect is the number of digests of suspect content.
 	suspect prometheus.Gauge
-	// Dialled is the number of connections made to backend servers.
+	// Dialled is the number of connections made to the backend servers that are known now.
 	Dialled prometheus.Gauge
 }
 
-// latencyBuckets in seconds cover objectives of 100 to 400 ms and timeouts of 6 s.
+// latencyBuckets, in seconds, cover objectives of 100 to 400 ms and timeouts of 6 s.
 var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 1, 2, 4, 8}
 
 // NewMetrics registers the metrics of an entry.
@@ -52,7 +52,7 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lynxgate_gateway_requests_total", Help: "Requests by kind of route, status and reason.",
 		}, []string{"kind", "status", "reason"}),
-		sends: prometheus.NewCounterVec(prometheus.CounterOpts{
+		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lynxgate_gateway_sends_total", Help: "Sends to backend servers by service; repeats among them.",
 		}, []string{"service", "repeat"}),
 		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -70,16 +70,16 @@
 		sizes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lynxgate_gateway_sized_requests_total", Help: "Requests to engines by service, by their prompt as a multiple of the usual one, and by what the caller got.",
 		}, []string{"service", "prompt", "got"}),
-		room: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		slotWait: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "lynxgate_gateway_room_wait_seconds", Help: "Wait for room at a backend server, by whether it came in time.", Buckets: latencyBuckets,
 		}, []string{"service", "given"}),
 		interrupted: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lynxgate_gateway_streams_interrupted_total", Help: "Streams interrupted after their first event, by who did it first and how they ended.",
 		}, []string{"by", "end"}),
-		broken: prometheus.NewCounterVec(prometheus.CounterOpts{
+		failedAttempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lynxgate_gateway_sends_broken_total", Help: "Sends that a backend server, or the way to it, broke off, by whether an answer had begun.",
 		}, []string{"service", "answer_begun"}),
-		heldBack: prometheus.NewCounterVec(prometheus.CounterOpts{
+		suspectRefusals: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lynxgate_gateway_requests_held_back_total", Help: "Requests that ended without a further send, since servers had ended under the same work, by verdict.",
 		}, []string{"verdict"}),
 		suspect: prometheus.NewGauge(prometheus.GaugeOpts{
@@ -97,7 +97,7 @@
 		signals: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "lynxgate_gateway_throttled_servers", Help: "Backend servers that have named a limit, have requested backoff, or leave, by service and signal.",
 		}, []string{"service", "signal"}),
-		signalSends: prometheus.NewCounterVec(prometheus.CounterOpts{
+		throttledAttempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lynxgate_gateway_throttled_sends_total", Help: "Sends to backend servers that were known to have a limit, to have requested backoff, or to leave, by service and signal.",
 		}, []string{"service", "signal"}),
 		configVersion: prometheus.NewGauge(prometheus.GaugeOpts{
@@ -107,12 +107,12 @@
 			Name: "lynxgate_gateway_dialled", Help: "Connections made to the backend servers that are known now.",
 		}),
 	}
-	r.MustRegister(m.requests, m.sends, m.first, m.whole, m.wait, m.gap, m.sizes, m.room, m.interrupted, m.broken, m.heldBack, m.suspect, m.budgetLeft, m.directoryAge, m.unseen, m.signals, m.signalSends, m.configVersion, m.Dialled)
+	r.MustRegister(m.requests, m.attempts, m.first, m.whole, m.wait, m.gap, m.sizes, m.slotWait, m.interrupted, m.failedAttempts, m.suspectRefusals, m.suspect, m.budgetLeft, m.directoryAge, m.unseen, m.signals, m.throttledAttempts, m.configVersion, m.Dialled)
 	return m
 }
 
-// report logs and counts how a call ended, and breaks the connection of one whose
-// answer was begun and can not be ended.
+// report logs and counts the result of a call, and aborts the connection if the answer was begun
+// and can't be completed.
 func (c *call) report() {
 	kind, service := "none", c.service
 	if c.route != nil {
@@ -126,13 +126,13 @@
 		m.gap.WithLabelValues(service).Observe(c.longestGap.Seconds())
 	}
 	if c.interruptedBy != "" {
-		m.interrupted.WithLabelValues(c.interruptedBy, c.endOfStream()).Inc()
+		m.interrupted.WithLabelValues(c.interruptedBy, c.interruptedResult()).Inc()
 	}
 	if c.choice.Server != nil {
 		m.wait.WithLabelValues(service).Observe(c.choice.Wait.Seconds())
 	}
-	for i := range c.sends {
-		m.sends.WithLabelValues(service, strconv.FormatBool(i > 0)).Inc()
+	for i := range c.attempts {
+		m.attempts.WithLabelValues(service, strconv.FormatBool(i > 0)).Inc()
 	}
 	if c.service != "" {
 		c.countSize()
@@ -143,8 +143,8 @@
 	}
 }
 
-// endOfStream names the end of a stream that was interrupted.
-func (c *call) endOfStream() string {
+// interruptedResult returns the result of an interrupted stream, as a metric label.
+func (c *call) interruptedResult() string {
 	switch {
 	case c.status == statusClientGone:
 		return "caller left"
@@ -154,12 +154,12 @@
 	return "whole"
 }
 
-// logEnd writes one line for a call that did not go as it should; good ones are
-// counted only.
+// logEnd writes one line for a call that was not served in time by its first attempt; others are
+// only counted.
 func (c *call) logEnd(kind string) {
 	late := c.route != nil && c.late()
 	late = late || c.route != nil && c.route.GapObjective > 0 && c.longestGap > c.route.GapObjective
-	if c.reason == "served" && c.sends <= 1 && !late {
+	if c.reason == "served" && c.attempts <= 1 && !late {
 		return
 	}
 	event := c.g.log.Info()
@@ -174,13 +174,13 @@
 			Dur("wait_ms", c.choice.Wait).Dur("load_age_ms", c.choice.Told).Bool("own", c.choice.Own).Int("own_requests", c.choice.InFlight).
 			Float64("unseen", c.choice.Unseen)
 	}
-	if c.room.Known > 0 {
-		event.Interface("servers", c.room)
+	if c.capacity.Known > 0 {
+		event.Interface("servers", c.capacity)
 	}
-	if len(c.room.Throttled) > 0 {
-		event.Interface("throttled", c.room.Throttled)
+	if len(c.capacity.Throttled) > 0 {
+		event.Interface("throttled", c.capacity.Throttled)
 	}
-	if c.cameBack {
+	if c.clientRetry {
 		event.Bool("came_back", true)
 	}
 	c.describeSize(event)
@@ -201,8 +201,8 @@
 		Dur("took_ms", clock.Since(c.began)).Msg("request ended")
 }
 
-// logSend writes one line for a send that did not give an answer to pass on.
-func (c *call) logSend(what string, err error) {
+// logAttempt writes one line for an attempt without an answer that can be forwarded.
+func (c *call) logAttempt(what string, err error) {
 	event := c.g.log.Info()
 	if c.endedBy != "" {
 		event.Str("ended_by", c.endedBy)
@@ -212,7 +212,7 @@
 	}
 	c.describe(event).Str("server", c.choice.Server.ID).Str("addr", c.choice.Server.Addr).
 		Float64("queue", c.choice.Queue).Int("slots", c.choice.Slots).Dur("load_age_ms", c.choice.Told).
-		AnErr("cause", err).Int64("left_ms", clock.Until(c.by).Milliseconds()).Msg(what)
+		AnErr("cause", err).Int64("left_ms", clock.Until(c.deadline).Milliseconds()).Msg(what)
 }
 
 func (c *call) describe(e *zerolog.Event) *zerolog.Event {
@@ -220,5 +220,5 @@
 	if c.view.Table != nil {
 		version = c.view.Table.Config.Version
 	}
-	return e.Str("request", c.id).Str("service", c.service).Int("sends", c.sends).Uint64("config", version)
+	return e.Str("request", c.id).Str("service", c.service).Int("sends", c.attempts).Uint64("config", version)
 }
--- a/internal/gateway/comeback_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -15,13 +15,13 @@
 	"lynxgate.dev/lynxgate/internal/standstill"
 )
 
-func TestCallersThatComeBackAreTold(t *testing.T) {
-	standstill.Judge(t, testCallersThatComeBackAreTold)
+func TestRequestIsRefusedAtOnceWhenAllServersAreFull(t *testing.T) {
+	standstill.Judge(t, testRequestIsRefusedAtOnceWhenAllServersAreFull)
 }
 
-func testCallersThatComeBackAreTold(t testing.TB) {
-	// Four slots are taken and told: a first event within 0.6 of 200 ms is not to
-	// be had, so the caller is refused at once.
+func testRequestIsRefusedAtOnceWhenAllServersAreFull(t testing.TB) {
+	// All four slots are reported as taken, with 50 requests waiting: a first event within 0.6
+	// of the objective of 200 ms is not possible, so the caller is refused at once.
 	busy := newBackend(t, "b-1", good)
 	e := newEntry(t, busy)
 	for range 3 {
@@ -34,12 +34,12 @@
 	after, err := strconv.ParseFloat(a.head.Get("Retry-After"), 64)
 	require.NoError(t, err)
 	assert.Positive(t, after)
-	assert.LessOrEqual(t, after, 2.0/3, "a third of what is left")
+	assert.LessOrEqual(t, after, 2.0/3, "a third of the time left")
 	assert.Empty(t, busy.requests())
 	assert.Contains(t, e.logs.String(), "all backend servers are full")
 }
 
-func TestCallersComeBackLateWhenNoServerCanBeUsed(t *testing.T) {
+func TestRetryAfterIsLongWhenNoServerCanBeUsed(t *testing.T) {
 	empty := newBackend(t, "b-1", good)
 	e := newEntry(t, empty)
 	e.onlyEngines()
@@ -48,15 +48,15 @@
 	assert.Equal(t, http.StatusServiceUnavailable, a.status)
 	after, err := strconv.ParseFloat(a.head.Get("Retry-After"), 64)
 	require.NoError(t, err)
-	assert.Greater(t, after, 0.45, "of 2 s")
+	assert.Greater(t, after, 0.45, "the deadline is 2 s")
 	assert.LessOrEqual(t, after, 2.0/3)
 	assert.Contains(t, e.logs.String(), "no backend server can take it")
 
-	c := &call{route: &fleet.Route{Objective: 200 * time.Millisecond}, clientBy: time.Now().Add(time.Minute)}
+	c := &call{route: &fleet.Route{Objective: 200 * time.Millisecond}, clientDeadline: time.Now().Add(time.Minute)}
 	for range 100 {
-		assert.Greater(t, c.retryAfter(), 14*time.Second, "a quarter less than a third")
+		assert.Greater(t, c.retryAfter(), 14*time.Second, "a third of a minute, less a quarter")
 	}
-	c.room.Fit = 1
+	c.capacity.Fit = 1
 	for range 100 {
 		assert.LessOrEqual(t, c.retryAfter(), time.Second, "five objectives")
 	}
--- a/internal/gateway/repeats_left_test.go
+++ b/internal/gateway/retry_budget_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestStreamsThatWaitForRoomLeaveRepeatsToOthers(t *testing.T) {
+func TestWaitingStreamsDoNotUseUpTheRetryBudget(t *testing.T) {
 	breaksThenFull := func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(headers.ResumeAfter) != "" {
 			notRun(w, r)
@@ -26,6 +26,6 @@
 	for range 2 {
 		assert.Error(t, e.ask(t, http.MethodPost, "/stream/x").err)
 	}
-	_, repeats := e.budget("engine").Counts(e.steady(time.Now()))
-	assert.True(t, e.budget("engine").TryRetry(e.steady(time.Now())), "%d repeats for two streams that waited 2 s each", repeats)
+	_, repeats := e.budget("engine").Counts(e.monotonic(time.Now()))
+	assert.True(t, e.budget("engine").TryRetry(e.monotonic(time.Now())), "%d retries for two streams that waited 2 s each", repeats)
 }
--- a/internal/gateway/head.go
+++ b/internal/gateway/signals.go
@@ -12,7 +12,7 @@
 	"lynxgate.dev/lynxgate/internal/dispatch"
 )
 
-// noteHead takes what the head of an answer tells of its server.
+// noteHead records the signals about the server in the header of an answer.
 func (c *call) noteHead(choice *balance.Choice, a *dispatch.Answer) {
 	now := clock.Now()
 	c.g.balancer.Heard(choice.Server, now)
@@ -27,7 +27,7 @@
 	}
 }
 
-// requestedBackoff is for how long an answer asks the entry to send nothing more, 0 if it does not.
+// requestedBackoff returns for how long an answer asks the entry to send no requests, 0 if it does not.
 func requestedBackoff(a *dispatch.Answer) time.Duration {
 	if a.StatusCode != http.StatusServiceUnavailable && a.StatusCode != http.StatusTooManyRequests {
 		return 0
@@ -35,7 +35,7 @@
 	return backpressure.ReadRetryAfter(a.Header, time.Now())
 }
 
-// noteLoad takes the load that an answer's head tells: running, waiting, slots.
+// noteLoad records the load stated in an answer's header: running, waiting, slots.
 func (c *call) noteLoad(s *balance.Server, h http.Header, now time.Time) {
 	running, rest, ok := strings.Cut(h.Get(c.g.cfg.Headers.Load), ",")
 	if !ok {
@@ -45,13 +45,13 @@
 	r, errRunning := strconv.Atoi(strings.TrimSpace(running))
 	q, errWaiting := strconv.Atoi(strings.TrimSpace(waiting))
 	if errRunning != nil || errWaiting != nil {
-		return // a report that can't be read tells nothing
+		return // a malformed value is ignored
 	}
 	c.g.balancer.Told(s, now, r, q)
 }
 
-// noteLimit takes the limit that an answer's head names. Only an answer that the server has
-// worked on lifts one by naming none.
+// noteLimit records the limit stated in an answer's header. An answer without one lifts an earlier
+// limit only if the server ran the request and signed the answer.
 func (c *call) noteLimit(choice *balance.Choice, a *dispatch.Answer, now time.Time) {
 	stated := backpressure.ReadLimit(a.Header.Values(c.g.cfg.Headers.Limit))
 	if !stated.Named && (c.isNotRun(a) || !c.signed(a)) {
@@ -60,9 +60,9 @@
 	c.g.balancer.LimitSignalled(choice, now, stated)
 }
 
-// countSignal counts a send to a server that has said something of itself.
+// countSignal counts an attempt at a throttled server, by its signal.
 func (c *call) countSignal(choice *balance.Choice) {
 	if choice.Signal != "" {
-		c.g.cfg.Metrics.signalSends.WithLabelValues(c.service, choice.Signal).Inc()
+		c.g.cfg.Metrics.throttledAttempts.WithLabelValues(c.service, choice.Signal).Inc()
 	}
 }
--- a/internal/gateway/size.go
+++ b/internal/gateway/size.go
@@ -11,12 +11,12 @@
 	"lynxgate.dev/lynxgate/internal/fleet"
 )
 
-// size is what a caller states of a request to an engine, in tokens: its prompt, and the most
-// that may be answered. 0 is not stated.
+// size is the size of a request to an engine as stated by the caller, in tokens: the prompt, and
+// the maximum of the answer. 0 means not stated.
 type size struct{ prompt, answer int }
 
-// statedSize reads a caller's word; what can't be read is not stated.
-func statedSize(text string) size {
+// parseSize parses the Tokens header. A malformed part counts as not stated.
+func parseSize(text string) size {
 	prompt, answer, _ := strings.Cut(text, ",")
 	return size{prompt: tokens(prompt), answer: tokens(answer)}
 }
@@ -29,7 +29,7 @@
 	return n
 }
 
-// promptTokens is the size of the prompt by the caller's word, or the usual one.
+// promptTokens returns the size of the prompt as stated by the caller, or else the usual one.
 func (c *call) promptTokens(e *fleet.Engine) int {
 	if c.size.prompt > 0 {
 		return c.size.prompt
@@ -37,34 +37,34 @@
 	return e.UsualPrompt
 }
 
-// promptBands tell requests apart in metrics, by their prompt as a multiple of the usual one.
+// promptBands classify requests in metrics, by the prompt as a multiple of the usual one.
 var promptBands = []struct {
 	below float64
 	name  string
 }{{0.5, "below 0.5"}, {1.5, "0.5 to 1.5"}, {2.5, "1.5 to 2.5"}}
 
-const largestPrompts = "2.5 and more"
+const largestBand = "2.5 and more"
 
-// promptBand names the band of a prompt.
+// promptBand returns the name of a prompt's band.
 func promptBand(prompt int, e *fleet.Engine) string {
 	for _, band := range promptBands {
 		if float64(prompt) < band.below*float64(e.UsualPrompt) {
 			return band.name
 		}
 	}
-	return largestPrompts
+	return largestBand
 }
 
-// countSize counts what a request to an engine got, by its prompt.
+// countSize counts the result of a request to an engine, by size of the prompt.
 func (c *call) countSize() {
 	if e := c.engine(); e != nil {
-		c.g.cfg.Metrics.sizes.WithLabelValues(c.service, promptBand(c.promptTokens(e), e), c.received()).Inc()
+		c.g.cfg.Metrics.sizes.WithLabelValues(c.service, promptBand(c.promptTokens(e), e), c.result()).Inc()
 	}
 }
 
-// received tells what the caller got: an answer whose first event was in time or late, a refusal, a
-// failure, or nothing since it left.
-func (c *call) received() string {
+// result returns the result for the caller, as a metric label: an answer whose first event was in
+// time or late, a refusal, a failure, or nothing since the caller left.
+func (c *call) result() string {
 	switch {
 	case c.status == statusClientGone:
 		return "left"
@@ -78,22 +78,22 @@
 	return "failed"
 }
 
-// late tells whether the first event came after the route's objective.
+// late reports whether the first event came after the route's objective.
 func (c *call) late() bool {
 	return c.route.Objective > 0 && c.firstEvent > c.route.Objective
 }
 
-// describeSize writes what a request to an engine states of its size, the longest wait at a
-// server that it was allowed last, and the least that was predicted where none had room.
+// describeSize adds the stated size of a request to an engine, the longest wait that was accepted
+// at the last choice of a server, and the least predicted wait if all servers were full.
 func (c *call) describeSize(event *zerolog.Event) {
 	if c.view.Table == nil || c.engine() == nil {
 		return
 	}
 	event.Int("prompt", c.size.prompt).Int("most_answer", c.size.answer).Dur("allowed_ms", c.allowed)
-	if c.room.Fit > 0 {
-		event.Dur("soonest_ms", c.room.Soonest)
+	if c.capacity.Fit > 0 {
+		event.Dur("soonest_ms", c.capacity.Soonest)
 	}
-	if !c.clientBy.IsZero() {
-		event.Dur("left_ms", clock.Until(c.clientBy))
+	if !c.clientDeadline.IsZero() {
+		event.Dur("left_ms", clock.Until(c.clientDeadline))
 	}
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// streamBuffer is the first size of the buffer of a stream: some events.
+	// streamBuffer is the initial buffer size of a stream, in bytes: some events.
 	streamBuffer = 4 << 10
-	// maxEvent bounds one event, in bytes.
+	// maxEvent is the limit of one event, in bytes.
 	maxEvent = 1 << 20
 )
 
@@ -27,100 +27,100 @@
 
 var errEventTooLarge = errors.New("event is too large")
 
-// stream passes events on as they come, whole ones only; read is what was read of the
-// answer already. When it breaks off and the route allows it, the rest is asked of
-// another server.
-func (c *call) stream(watch *watchdog, a *dispatch.Answer, read []byte) sendResult {
+// stream forwards whole events as they arrive; read is what was already read of the answer. If the
+// stream breaks off and the route allows it, the rest is requested from another server.
+func (c *call) stream(watch *watchdog, a *dispatch.Answer, read []byte) attemptResult {
 	c.noteVersion(a)
-	h, err := c.settleHandover(watch, a, c.passEvents(watch, a, read))
+	h, err := c.settleHandover(watch, a, c.forwardEvents(watch, a, read))
 	switch {
 	case err == nil:
 		c.g.balancer.Done(&c.choice, clock.Now(), balance.EndedWell)
-		c.clear()
+		c.clearSuspicion()
 		c.status, c.reason = a.StatusCode, "served"
-		return sendFinal
+		return attemptFinal
 	case errors.Is(err, errCallerGone):
 		c.g.balancer.Done(&c.choice, clock.Now(), balance.EndedElse)
 		c.status, c.reason = statusClientGone, "caller left"
-		return sendFinal
+		return attemptFinal
 	case h != nil:
-		c.handedOver(h)
-		return sendAgain
+		c.endHandedOver(h)
+		return attemptAgain
 	}
 	return c.brokenAnswer(watch, "stream broke off", err)
 }
 
-// noteVersion takes the version of weights that a stream begins on.
+// noteVersion records the version of weights with which a stream begins.
 func (c *call) noteVersion(a *dispatch.Answer) {
-	c.passing.Lock()
-	defer c.passing.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if c.version == "" {
 		c.version = a.Header.Get(c.g.cfg.Headers.Version)
 	}
 }
 
-// handedOver ends a send whose stream another server has taken over.
-func (c *call) handedOver(h *handover) {
+// endHandedOver ends an attempt whose request another server has taken over.
+func (c *call) endHandedOver(h *handover) {
 	ending := balance.EndedElse
 	switch h.why {
-	case moveServerSilent, moveLate:
+	case handoverServerSilent, handoverLate:
 		ending = balance.EndedSilent
-	case moveConnectionSilent:
-		c.choice.Server.Pool.CloseIdle() // they may have gone silent, too
+	case handoverConnectionSilent:
+		c.choice.Server.Pool.CloseIdle() // idle connections may be dead, too
 	}
 	c.endedBy = "entry: " + string(h.why)
 	c.noteInterrupted()
 	c.g.balancer.Done(&c.choice, clock.Now(), ending)
-	c.logSend("request goes on at another server", nil)
+	c.logAttempt("request handed over to another server", nil)
 	c.next = h
 }
 
-// noteInterrupted notes who ended the first send of a stream that has begun.
+// noteInterrupted records what ended the first attempt that failed after the first event.
 func (c *call) noteInterrupted() {
 	if c.events > 0 && c.interruptedBy == "" {
 		c.interruptedBy = c.endedBy
 	}
 }
 
-// versionNumber is the version of weights that the events so far bind the rest of the
-// stream to. One that can't be read is 0, which binds to none: the server is then
-// asked to check it.
+// versionNumber returns the version of weights that must write the rest of the stream, since it wrote
+// the events so far. A malformed version is returned as 0, which the balancer takes as any
+// version; the server then checks the ExpectVersion header.
 func (c *call) versionNumber() uint64 {
 	number, _ := strconv.ParseUint(c.version, 10, 64)
 	return number
 }
 
-// errCallerGone says that the caller takes no more bytes.
+// errCallerGone means that writing to the caller failed.
 var errCallerGone = errors.New("caller is gone")
 
-// passEvents copies whole events until the answer's proper end.
-func (c *call) passEvents(watch *watchdog, a *dispatch.Answer, read []byte) error {
-	a.ReadBy(c.by)
-	buf, err := c.passWhole(watch, a, append(make([]byte, 0, max(streamBuffer, 2*len(read))), read...))
+// forwardEvents forwards whole events until the end of the answer. An answer that ends within an event
+// is an error.
+func (c *call) forwardEvents(watch *watchdog, a *dispatch.Answer, read []byte) error {
+	a.ReadBy(c.deadline)
+	buf, err := c.forwardWholeEvents(watch, a, append(make([]byte, 0, max(streamBuffer, 2*len(read))), read...))
 	if err != nil {
 		return err
 	}
 	for {
-		if buf, err = roomFor(buf); err != nil {
+		if buf, err = growBuffer(buf); err != nil {
 			return err
 		}
 		n, readErr := a.Read(buf[len(buf):cap(buf)])
-		if buf, err = c.passWhole(watch, a, buf[:len(buf)+n]); err != nil {
+		if buf, err = c.forwardWholeEvents(watch, a, buf[:len(buf)+n]); err != nil {
 			return err
 		}
 		switch {
 		case readErr == io.EOF && len(buf) > 0:
 			return io.ErrUnexpectedEOF // in the middle of an event
 		case readErr == io.EOF:
-			return c.endEvents(watch, a)
+			return c.endStream(watch, a)
 		case readErr != nil:
 			return readErr
 		}
 	}
 }
 
-// roomFor makes room behind buf for more of an event.
-func roomFor(buf []byte) ([]byte, error) {
+// growBuffer returns buf with spare capacity for more of an event.
+func growBuffer(buf []byte) ([]byte, error) {
 	if len(buf) < cap(buf) {
 		return buf, nil
 	}
@@ -130,14 +130,14 @@
 	return append(make([]byte, 0, 2*cap(buf)), buf...), nil
 }
 
-// passWhole passes the whole events in buf on and returns the rest.
-func (c *call) passWhole(watch *watchdog, a *dispatch.Answer, buf []byte) ([]byte, error) {
+// forwardWholeEvents forwards the whole events in buf and returns the rest.
+func (c *call) forwardWholeEvents(watch *watchdog, a *dispatch.Answer, buf []byte) ([]byte, error) {
 	end := wholeEvents(buf)
 	if end == 0 {
 		return buf, nil
 	}
 	c.g.balancer.Heard(c.choice.Server, clock.Now())
-	if err := c.takeEvents(a, buf[:end]); err != nil {
+	if err := c.forwardOrBuffer(a, buf[:end]); err != nil {
 		return nil, err
 	}
 	watch.begun.Store(true)
@@ -156,8 +156,8 @@
 	return end
 }
 
-// passOn writes whole events to the caller.
-func (c *call) passOn(a *dispatch.Answer, events []byte) error {
+// writeEvents writes whole events to the caller.
+func (c *call) writeEvents(a *dispatch.Answer, events []byte) error {
 	now := clock.Now()
 	if c.events == 0 {
 		c.firstEvent = now.Sub(c.began)
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// commit writes the head of the answer, once.
+// commit writes the status and header of the answer to the caller, once.
 func (c *call) commit(a *dispatch.Answer) {
 	if c.committed {
 		return
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -13,8 +13,8 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// viewOf makes the entry take its view from a viewer, as the daemon does.
-func (e *entry) viewOf(t testing.TB, updates ...*rpc.FleetUpdate) {
+// applyUpdates sets the entry's view from fleet updates by way of a viewer, as the daemon does.
+func (e *entry) applyUpdates(t testing.TB, updates ...*rpc.FleetUpdate) {
 	t.Helper()
 	table := e.view.Load().Table
 	servers := e.view.Load().Servers
@@ -31,15 +31,14 @@
 	}
 }
 
-// TestWeightsThatWereOverInASuspension: version 8 of the weights is named, and the VM of the
-// entry is suspended for most of the time that version 7 may still be used. By the steady clock
-// version 7 is good for as long again.
-func TestWeightsThatWereOverInASuspension(t *testing.T) {
+// TestWeightsExpireDuringASuspension: version 8 of the weights is announced, and the entry's VM is suspended
+// until version 7 has expired. By the monotonic clock, which stops meanwhile, 7 would stay in use.
+func TestWeightsExpireDuringASuspension(t *testing.T) {
 	vm := clocktest.Install(t)
-	b := newBackend(t, "b-1", events(0)) // holds version 7
+	b := newBackend(t, "b-1", events(0)) // has loaded version 7
 	e := newEntry(t, b)
 	e.onlyEngines()
-	e.viewOf(t, &rpc.FleetUpdate{Versions: []*rpc.ModelVersion{{Model: "m", Version: 8}}})
+	e.applyUpdates(t, &rpc.FleetUpdate{Versions: []*rpc.ModelVersion{{Model: "m", Version: 8}}})
 	a := e.ask(t, http.MethodPost, "/stream/x")
 	require.Equal(t, wholeStream, a.body, "version 7 may be used for 8 s")
 	vm.Suspend(8 * time.Second)
@@ -48,24 +47,24 @@
 	assert.Len(t, b.requests(), 1)
 }
 
-// TestServersNotHeardInASuspension: what was announced before a long suspension says nothing of
-// who is there now.
-func TestServersNotHeardInASuspension(t *testing.T) {
+// TestServersExpireDuringASuspension: after a long suspension, announcements from before it are too
+// old to use.
+func TestServersExpireDuringASuspension(t *testing.T) {
 	vm := clocktest.Install(t)
 	b := newBackend(t, "b-1", events(0))
 	e := newEntry(t, b)
 	e.onlyEngines()
 	record := follow.ServerToProto(e.view.Load().Servers["engine"][0], time.Now())
 	record.AgeMs = 0
-	e.viewOf(t, &rpc.FleetUpdate{Servers: []*rpc.BackendServer{record}})
+	e.applyUpdates(t, &rpc.FleetUpdate{Servers: []*rpc.BackendServer{record}})
 	require.Equal(t, wholeStream, e.ask(t, http.MethodPost, "/stream/x").body)
 	vm.Suspend(time.Minute)
 	assert.Equal(t, http.StatusServiceUnavailable, e.ask(t, http.MethodPost, "/stream/x").status)
 }
 
-// TestDeadlineThatWasOverInASuspension: the VM is suspended while a request waits for its
-// server; the caller has given up when it goes on, and the request is not sent again.
-func TestDeadlineThatWasOverInASuspension(t *testing.T) {
+// TestDeadlinePassesDuringASuspension: the VM is suspended while a request waits for its server, until
+// after the caller's deadline; the request must not be retried.
+func TestDeadlinePassesDuringASuspension(t *testing.T) {
 	vm := clocktest.Install(t)
 	first := newBackend(t, "b-1", func(w http.ResponseWriter, _ *http.Request) {
 		vm.Suspend(5 * time.Second) // the caller waits for 2 s
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -11,40 +11,41 @@
 )
 
 const (
-	// silenceCheck is how often a stream asks whether its server is silent.
-	silenceCheck = 250 * time.Millisecond
-	// wholeStall times the objective is after how long an answer in one piece is
-	// asked of another server, too: work takes a fifth of the objective on average.
-	wholeStall = 2
-	// overGuard is how long before weights are over a request that waits at its server
-	// for its first event is taken back: an entry that is busy with a configuration for
-	// 0.3 s, and the way to the server.
-	overGuard = 400 * time.Millisecond
+	// silenceCheckInterval is how often an attempt is checked for a silent server.
+	silenceCheckInterval = 250 * time.Millisecond
+	// wholeStallFactor times the objective is the time after which a request for a
+	// non-streaming answer is hedged; requests take a fifth of the objective on average.
+	wholeStallFactor = 2
+	// weightsExpiryMargin is how long before its weights expire a request that waits for its
+	// first event is cancelled. It covers an entry that is busy with a new configuration for
+	// 0.3 s, and the latency to the server.
+	weightsExpiryMargin = 400 * time.Millisecond
 )
 
-// watchdog watches a send whose server may no longer do anything, so that a request that
-// may run twice can go on elsewhere: it stays at its server until another one has taken
-// it over. Only what would begin on weights that are over is taken back before, streams
-// that must not be repeated among it.
+// watchdog watches an attempt whose server may have stopped responding, and begins a handover if
+// the request may run twice. The attempt continues until another server has taken over. Only an
+// attempt that would begin on expired weights is cancelled before that, also if its stream must
+// not be retried.
 type watchdog struct {
 	parent context.Context
 	ctx    context.Context
 	cancel context.CancelFunc
 	timer  *time.Timer
 	server *balance.Server
-	// weights is the version that the server was chosen for, 0 for plain services.
+	// weights is the version of weights for which the server was chosen, 0 for plain services.
 	weights uint64
 	sentAt  time.Time
-	// over tells that the watchdog has ended the send, since its server's weights
-	// would have been over before it began.
-	over atomic.Bool
-	// begun tells that an event was passed on.
+	// weightsExpired: the watchdog cancelled the attempt, since the server's weights would have
+	// expired before it began.
+	weightsExpired atomic.Bool
+	// begun: an event was forwarded.
 	begun atomic.Bool
-	// ended: the send has ended. Guarded by call.passing.
+	// ended: the attempt has ended. Guarded by call.mu.
 	ended bool
 }
 
-// newWatchdog watches a send to a server, which ends with that start of the server.
+// newWatchdog returns a watchdog for an attempt at a server. Its context ends with ctx or with this
+// incarnation of the server.
 func newWatchdog(ctx context.Context, s *balance.Server) *watchdog {
 	w := &watchdog{parent: ctx, server: s}
 	var cancel context.CancelFunc
@@ -57,7 +58,7 @@
 	return w
 }
 
-// watch starts a watchdog over one send.
+// watch starts a watchdog for the attempt at the chosen server.
 func (c *call) watch(ctx context.Context) *watchdog {
 	w := newWatchdog(ctx, c.choice.Server)
 	c.startWatch(w)
@@ -67,51 +68,51 @@
 func (c *call) startWatch(w *watchdog) {
 	w.weights, w.sentAt = c.choice.Version, clock.Now()
 	if c.route.Kind != fleet.KindStream && !c.route.Idempotent() {
-		return // it can be neither moved nor, since it may have begun, taken back
+		return // it can be neither handed over nor, since it may have begun, cancelled
 	}
-	// Started by Reset, once the field that the check reads is set.
+	// The timer is started by Reset, after w.timer, which the check reads, is set.
 	w.timer = time.AfterFunc(time.Hour, func() { c.check(w) })
-	w.timer.Reset(c.firstCheck(w))
+	w.timer.Reset(c.firstCheckDelay(w))
 }
 
-// firstCheck is when to look at a send first. A whole answer of a plain service is
-// looked at once it is late only.
-func (c *call) firstCheck(w *watchdog) time.Duration {
+// firstCheckDelay returns the delay until the first check of an attempt. A non-streaming request to a
+// plain service needs none before its answer is late.
+func (c *call) firstCheckDelay(w *watchdog) time.Duration {
 	if c.route.Kind != fleet.KindStream && w.weights == 0 && c.route.Objective > 0 {
-		return wholeStall * c.route.Objective
+		return wholeStallFactor * c.route.Objective
 	}
-	return nextCheck(c.g.balancer.VersionLeft(c.model, w.weights, w.sentAt))
+	return nextCheckDelay(c.g.balancer.VersionLeft(c.model, w.weights, w.sentAt))
 }
 
-// check looks at a send, again and again.
+// check checks an attempt and schedules the next check.
 func (c *call) check(w *watchdog) {
 	now := clock.Now()
-	next := silenceCheck
+	next := silenceCheckInterval
 	if !w.begun.Load() {
 		left, bounded := c.g.balancer.VersionLeft(c.model, w.weights, now)
-		if bounded && left <= overGuard {
-			w.over.Store(true)
+		if bounded && left <= weightsExpiryMargin {
+			w.weightsExpired.Store(true)
 			w.cancel()
 			return
 		}
-		next = nextCheck(left, bounded)
+		next = nextCheckDelay(left, bounded)
 	}
-	if why := c.moveReason(w, now); why != "" {
-		go c.handOver(w, why) // the check of the version goes on
+	if why := c.handoverReason(w, now); why != "" {
+		go c.handOver(w, why) // the checks for expired weights continue
 	}
 	if w.ctx.Err() == nil {
 		w.timer.Reset(next)
 	}
 }
 
-// nextCheck is when to look at a request again that waits for its first event, if its
-// server's weights are over after left: the moment to take it back is not missed by the
-// length of a check, since a busy entry may need the whole of overGuard.
-func nextCheck(left time.Duration, bounded bool) time.Duration {
+// nextCheckDelay returns the delay until the next check of a request that waits for its first event,
+// if its server's weights expire after left. The check falls on the moment to cancel the request,
+// not up to one interval later, since a busy entry may need the whole weightsExpiryMargin.
+func nextCheckDelay(left time.Duration, bounded bool) time.Duration {
 	if !bounded {
-		return silenceCheck
+		return silenceCheckInterval
 	}
-	return min(silenceCheck, max(left-overGuard, 0))
+	return min(silenceCheckInterval, max(left-weightsExpiryMargin, 0))
 }
 
 func (w *watchdog) stop() {
--- a/internal/gateway/weights_over_test.go
+++ b/internal/gateway/weights_expiry_test.go
@@ -15,8 +15,8 @@
 	"lynxgate.dev/lynxgate/internal/standstill"
 )
 
-// overIn makes version 7 of the weights be over in d.
-func (e *entry) overIn(d time.Duration) time.Time {
+// expireWeightsIn makes version 7 of the weights expire in d, and returns that time.
+func (e *entry) expireWeightsIn(d time.Duration) time.Time {
 	const bound = 8 * time.Second
 	over := time.Now().Add(d)
 	view := *e.view.Load()
@@ -25,11 +25,11 @@
 	return over
 }
 
-func TestServerThatIsAskedToGoOnDoesNotBeginWhenItsWeightsAreOver(t *testing.T) {
-	standstill.Judge(t, testServerThatIsAskedToGoOnDoesNotBeginWhenItsWeightsAreOver)
+func TestHandoverIsCancelledBeforeTheWeightsExpire(t *testing.T) {
+	standstill.Judge(t, testHandoverIsCancelledBeforeTheWeightsExpire)
 }
 
-func testServerThatIsAskedToGoOnDoesNotBeginWhenItsWeightsAreOver(t testing.TB) {
+func testHandoverIsCancelledBeforeTheWeightsExpire(t testing.TB) {
 	stops := newBackend(t, "b-stops", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(headers.Signature, "signed")
 		w.Header().Set(headers.Version, "7")
@@ -40,48 +40,48 @@
 	})
 	taken := make(chan time.Time, 8)
 	waits := newBackend(t, "b-waits", func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // only then a closed connection is noticed
+		_, _ = io.Copy(io.Discard, r.Body) // the context ends on a closed connection only after this
 		<-r.Context().Done()
 		taken <- time.Now()
 	})
 	e := newEntry(t, stops, waits)
 	e.onlyEngines()
-	// The first server counts as silent after 0.6 s; the other one is asked 0.75 s
-	// after the start, more than the margin of 1 s before the weights are over.
-	over := e.overIn(1900 * time.Millisecond)
+	// The first server counts as silent after 0.6 s. The handover begins 0.75 s after the start,
+	// more than 1 s before the weights expire.
+	over := e.expireWeightsIn(1900 * time.Millisecond)
 	e.ask(t, http.MethodPost, "/stream/x", func(r *http.Request) { r.Header.Set(headers.DeadlineMs, "5000") })
 	require.NotEmpty(t, waits.requests())
 	at := <-taken
-	assert.True(t, at.Before(over), "taken back %v after its weights were over", at.Sub(over))
+	assert.True(t, at.Before(over), "cancelled %v after its weights expired", at.Sub(over))
 }
 
-func TestWaitingRequestIsTakenBackAWholeGuardBeforeItsWeightsAreOver(t *testing.T) {
-	standstill.Judge(t, testWaitingRequestIsTakenBackAWholeGuardBeforeItsWeightsAreOver)
+func TestWaitingRequestIsCancelledAWholeMarginBeforeItsWeightsExpire(t *testing.T) {
+	standstill.Judge(t, testWaitingRequestIsCancelledAWholeMarginBeforeItsWeightsExpire)
 }
 
-func testWaitingRequestIsTakenBackAWholeGuardBeforeItsWeightsAreOver(t testing.TB) {
+func testWaitingRequestIsCancelledAWholeMarginBeforeItsWeightsExpire(t testing.TB) {
 	taken := make(chan time.Time, 1)
 	waits := newBackend(t, "b-waits", func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // only then a closed connection is noticed
+		_, _ = io.Copy(io.Discard, r.Body) // the context ends on a closed connection only after this
 		<-r.Context().Done()
 		taken <- time.Now()
 	})
 	e := newEntry(t, waits)
 	e.onlyEngines()
-	e.report(t, waits, false, 7) // it is not silent
-	over := e.overIn(1170 * time.Millisecond)
+	e.report(t, waits, false, 7) // the reports keep it from counting as silent
+	over := e.expireWeightsIn(1170 * time.Millisecond)
 	e.ask(t, http.MethodPost, "/stream/x")
 	require.NotEmpty(t, waits.requests())
 	left := over.Sub(<-taken)
-	// With a look every 250 ms in place of one at that moment it is 0.17 s.
-	assert.Greater(t, left, overGuard-150*time.Millisecond, "entries that are busy need 0.3 s")
+	// If only checked every 250 ms, the request would be cancelled 0.17 s before.
+	assert.Greater(t, left, weightsExpiryMargin-150*time.Millisecond, "a busy entry needs 0.3 s")
 }
 
-func TestSafeRequestAtAnEngineIsTakenBackBeforeItsWeightsAreOver(t *testing.T) {
-	standstill.Judge(t, testSafeRequestAtAnEngineIsTakenBackBeforeItsWeightsAreOver)
+func TestSafeRequestAtAnEngineIsCancelledBeforeItsWeightsExpire(t *testing.T) {
+	standstill.Judge(t, testSafeRequestAtAnEngineIsCancelledBeforeItsWeightsExpire)
 }
 
-func testSafeRequestAtAnEngineIsTakenBackBeforeItsWeightsAreOver(t testing.TB) {
+func testSafeRequestAtAnEngineIsCancelledBeforeItsWeightsExpire(t testing.TB) {
 	taken := make(chan time.Time, 1)
 	waits := newBackend(t, "b-waits", func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -102,9 +102,9 @@
 	view.Table = fleet.NewTable(&config)
 	e.SetView(&view)
 	e.report(t, waits, false, 7)
-	over := e.overIn(1200 * time.Millisecond)
+	over := e.expireWeightsIn(1200 * time.Millisecond)
 	e.ask(t, http.MethodPost, "/safe/x")
 	require.NotEmpty(t, waits.requests())
 	at := <-taken
-	assert.True(t, at.Before(over), "taken back %v after its weights were over", at.Sub(over))
+	assert.True(t, at.Before(over), "cancelled %v after its weights expired", at.Sub(over))
 }
