--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -8,18 +8,18 @@
 	"lukechampine.com/blake3"
 )
 
-// DigestSize is the length of a Digest in bytes. A caller that looks for two requests of the
-// same digest needs 2^64 tries; one that looks for another organisation's needs 2^128.
+// DigestSize is the length of a Digest in bytes. A caller that looks for two requests with the
+// same digest needs 2^64 attempts; one that looks for another organisation's digest needs 2^128.
 const DigestSize = 16
 
-// Digest names what makes two requests the same work: who asks, for what, with which body.
-// Ids and deadlines differ with each attempt and are left out.
+// Digest identifies the content of a request: organisation, method, host, target and body.
+// Ids and deadlines, which differ between attempts, are left out.
 type Digest [DigestSize]byte
 
-// String returns the digest as logs show it.
+// String returns the digest in hexadecimal, as in logs.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest reads what String has written.
+// ParseDigest parses the result of Digest.String.
 func ParseDigest(text string) (Digest, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil {
@@ -31,8 +31,8 @@
 	return Digest(raw), nil
 }
 
-// DigestOf returns the digest of a request. organisation is empty for routes that anyone
-// may call; target is path and query as they were sent.
+// DigestOf returns the digest of a request. organisation is empty for routes that are open to
+// anyone; target is path and query as the caller sent them.
 func DigestOf(organisation, method, host, target string, body []byte) Digest {
 	head := make([]byte, 0, 256)
 	for _, part := range []string{organisation, method, host, target} {
--- a/internal/quarantine/digest_test.go
+++ b/internal/quarantine/digest_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestDigestTellsRequestsApart(t *testing.T) {
+func TestDigestDiffersByRequest(t *testing.T) {
 	base := DigestOf("org", "POST", "h", "/a/b", []byte("body"))
-	assert.Equal(t, base, DigestOf("org", "POST", "h", "/a/b", []byte("body")), "the same work")
+	assert.Equal(t, base, DigestOf("org", "POST", "h", "/a/b", []byte("body")), "the same content")
 	for name, other := range map[string]Digest{
 		"organisation":      DigestOf("other", "POST", "h", "/a/b", []byte("body")),
 		"method":            DigestOf("org", "PUT", "h", "/a/b", []byte("body")),
@@ -23,8 +23,8 @@
 	}
 }
 
-// BenchmarkDigest is what a request costs an entry while anything is held against any
-// request, by the size of its body.
+// BenchmarkDigest measures what a request costs an entry while any content is suspect, by the size
+// of its body.
 func BenchmarkDigest(b *testing.B) {
 	for name, size := range map[string]int{"none": 0, "4KiB": 4 << 10, "4MiB": 4 << 20} {
 		body := []byte(strings.Repeat("x", size))
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,11 +1,10 @@
-// Package quarantine tells requests that end the backend servers that run them from those
-// that only stood beside one. Work is what a request asks for, by whom, whatever the id of the
-// attempt: see Digest. A server has ended when its VM refuses connections and it had not said that
-// it leaves.
+// Package quarantine finds request content that crashes the backend servers it is dispatched to, and
+// distinguishes it from content that was merely in flight when a server crashed. Content is identified
+// by a Digest, whatever the id of the attempt. A server counts as crashed when its VM refuses
+// connections and it had not announced that it leaves.
 //
-// State: a Table, of which each entry and each control server has one. It is a set of facts
-// "this work was in flight at this start of a server when it ended", and which of them were
-// cleared by an answer. Merging is idempotent and commutative, so that any order and repetition
-// of news, from both sides of a cut too, gives the same verdicts. Messages: News. Time is an
-// argument.
+// Each entry and each control server has one Table: a set of facts "this content was in flight at
+// this incarnation of a server when it crashed", each of which a complete answer clears. Merging is
+// idempotent and commutative, so that updates in any order and repetition, also from both sides of a
+// network partition, give the same verdicts. Messages: News. Time is an argument.
 package quarantine
--- a/internal/quarantine/entries.go
+++ b/internal/quarantine/entries.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Entry is what is held against one piece of work, for operators.
+// Entry describes one suspect or quarantined request content to operators.
 type Entry struct {
 	Digest  Digest
 	Verdict Verdict
-	// Servers are the starts of servers that ended under it.
+	// Servers are the incarnations of servers that crashed with it in flight.
 	Servers []string
-	// Since is when the verdict became final, zero if it is not.
+	// Since is when the content was quarantined, zero if it is not.
 	Since time.Time
 }
 
-// Entries returns all work that anything counts against, in the order of digests.
+// Entries returns all content whose verdict is not Free, ordered by digest.
 func (t *Table) Entries(now time.Time) []Entry {
 	var out []Entry
 	for d, r := range t.records {
@@ -25,8 +25,8 @@
 			continue
 		}
 		e := Entry{Digest: d, Verdict: verdict, Servers: t.Evidence(d)}
-		if r.held() {
-			e.Since = r.heldAt
+		if r.quarantined() {
+			e.Since = r.quarantinedAt
 		}
 		out = append(out, e)
 	}
--- a/internal/quarantine/frequent_test.go
+++ b/internal/quarantine/frequent_test.go
@@ -8,111 +8,109 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// What users saw: after eight servers had lost power at the same moment, four times within
-// 14 s, six ordinary requests that many callers send again and again were refused for ten
-// minutes, since "backend servers ended under this request".
+// Regression: after eight servers had lost power at the same moment, four times within 14 s, six
+// ordinary requests that many callers repeat were refused for ten minutes with "backend servers ended
+// under this request".
 //
-// Cause: a request that is sent often is in flight at half or more of the servers of any
-// event, so that one event counted as three ends of its own. Work that was held is not sent,
-// so that no answer could clear it.
+// A frequent request is in flight at half or more of the servers of any event, so that one event
+// counted as three crashes of its own. Quarantined content is not dispatched, so that no answer could
+// clear it.
 
-// TestOneEventHoldsNobody: eight servers end at once, each of six frequent requests was at
-// four to eight of them.
-func TestOneEventHoldsNobody(t *testing.T) {
+// Eight servers crash at once; each of six frequent requests was in flight at four to eight of them.
+func TestOneEventQuarantinesNoContent(t *testing.T) {
 	table := New()
 	for i := range 6 {
 		for server := range 4 + i%5 {
-			table.end(fmt.Sprint("s-", (server+i)%8), 5*server, work(i))
+			table.crashed(fmt.Sprint("s-", (server+i)%8), 5*server, content(i))
 		}
 	}
 	for i := range 6 {
-		assert.Equal(t, Suspect, table.Verdict(at(1000), work(i)), "work %d", i)
+		assert.Equal(t, Suspect, table.Verdict(at(1000), content(i)), "content %d", i)
 	}
 }
 
-// TestOneEventSeenLateHoldsNobody: entries that are short of processor time see and tell the ends
-// of eight servers that were killed at one moment over 0.8 s. Beside four busy processes all six
-// requests of TestFrequentRequestsAreServedAfterKills were held that way.
-func TestOneEventSeenLateHoldsNobody(t *testing.T) {
+// Entries that are short of processor time detect and report the crashes of eight servers that were
+// killed at one moment over 0.8 s. With four busy processes on the machine this quarantined all six
+// requests of TestFrequentRequestsAreServedAfterKills.
+func TestOneEventReportedLateQuarantinesNoContent(t *testing.T) {
 	table := New()
 	for i := range 6 {
 		for server := range 8 {
-			table.end(fmt.Sprint("s-", server), 100*server+10*i, work(i))
+			table.crashed(fmt.Sprint("s-", server), 100*server+10*i, content(i))
 		}
 	}
 	for i := range 6 {
-		assert.Equal(t, Suspect, table.Verdict(at(2000), work(i)), "work %d", i)
+		assert.Equal(t, Suspect, table.Verdict(at(2000), content(i)), "content %d", i)
 	}
 }
 
-// TestCopySentAloneIntoAKillHoldsNobody: a request is sent again, alone, as soon as its server has
-// ended, to one that was killed with the first one and ends some ms later, and so on.
-func TestCopySentAloneIntoAKillHoldsNobody(t *testing.T) {
+// A request is retried, alone, as soon as its server has crashed, at a server that was killed with
+// the first one and crashes some ms later, and so on.
+func TestSoleAttemptDuringKillQuarantinesNoContent(t *testing.T) {
 	table := New()
 	for server := range 8 {
-		ended := at(20 * server)
-		table.Merge(ended, News{Digest: work(1), Server: fmt.Sprint("s-", server), Alone: server > 0, At: ended})
+		crashedAt := at(20 * server)
+		table.Merge(crashedAt, News{Digest: content(1), Server: fmt.Sprint("s-", server), Alone: server > 0, At: crashedAt})
 	}
-	assert.Equal(t, Suspect, table.Verdict(at(2000), work(1)))
+	assert.Equal(t, Suspect, table.Verdict(at(2000), content(1)))
 }
 
-// frequentLoad is a fleet whose servers are killed again and again, while callers send the
-// same few requests all the time.
+// frequentLoad is a fleet whose servers are killed repeatedly while callers send the same few
+// requests all the time.
 type frequentLoad struct {
 	servers, frequent, kills int
-	// killed of the servers end at each kill; gapMS between two kills, downMS until a server is back.
+	// killed servers crash at each kill; gapMS is the time between kills, downMS until a server is back.
 	killed, gapMS, downMS int
-	// answers: copies are answered between two kills. Without, a kill finds the careful copy of
-	// each request that was sent since.
+	// answers: attempts are answered between two kills. Without, each kill hits the single attempt of
+	// each request that was dispatched since.
 	answers bool
 }
 
-// play returns how many of the frequent requests were held after any kill.
-func (l frequentLoad) play(seed uint64) (held int) {
+// play returns how many of the frequent requests were quarantined after any kill.
+func (l frequentLoad) play(seed uint64) (quarantined int) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	table := New()
 	for kill := range l.kills {
 		ms := 1000 + kill*l.gapMS
 		order := r.Perm(l.servers)[:l.killed]
 		for i := range l.frequent {
-			copies, alone := order, false
-			if table.Verdict(at(ms), work(i)) == Suspect {
-				// One copy at a time runs, at any server, killed or not.
-				copies, alone = nil, true
+			targets, alone := order, false
+			if table.Verdict(at(ms), content(i)) == Suspect {
+				// One attempt at a time runs, at any server, killed or not.
+				targets, alone = nil, true
 				if s := r.IntN(l.servers); s < l.killed {
-					copies = order[s : s+1]
+					targets = order[s : s+1]
 				}
 			}
-			for _, s := range copies {
-				if alone || r.IntN(10) < 7 { // at seven in ten servers at any moment
-					ended := at(ms + r.IntN(100))
-					table.Merge(ended, News{Digest: work(i), Server: fmt.Sprintf("s-%d-%d", s, kill), Alone: alone, At: ended})
+			for _, s := range targets {
+				if alone || r.IntN(10) < 7 { // in flight at seven in ten servers at any moment
+					crashedAt := at(ms + r.IntN(100))
+					table.Merge(crashedAt, News{Digest: content(i), Server: fmt.Sprintf("s-%d-%d", s, kill), Alone: alone, At: crashedAt})
 				}
 			}
 		}
-		// Other requests are at every server.
+		// Other requests are in flight at every server.
 		for n, s := range order {
-			table.end(fmt.Sprintf("s-%d-%d", s, kill), ms+r.IntN(100), work(10000+1000*kill+n))
+			table.crashed(fmt.Sprintf("s-%d-%d", s, kill), ms+r.IntN(100), content(10000+1000*kill+n))
 		}
 		later := ms + l.gapMS - 100
 		for i := range l.frequent {
-			switch table.Verdict(at(later), work(i)) {
+			switch table.Verdict(at(later), content(i)) {
 			case Held, Unsettled:
-				held++
+				quarantined++
 			case Suspect:
 				if l.answers && (l.killed < l.servers || l.downMS < l.gapMS-200) {
-					table.Served(at(later), work(i))
+					table.Served(at(later), content(i))
 				}
 			}
 		}
 	}
-	return held
+	return quarantined
 }
 
-// TestFrequentRequestsAreNotHeldAfterKills: 30 to 100 of 100 servers, and 8 of 8, are killed
-// at once, one to four times, under one to fifty frequent requests; with answers in between, and
-// with none at all.
-func TestFrequentRequestsAreNotHeldAfterKills(t *testing.T) {
+// 30 to 100 of 100 servers, and 8 of 8, are killed at once, one to four times, with one to fifty
+// frequent requests in flight; with answers in between, and without any.
+func TestFrequentRequestsAreNotQuarantinedAfterKills(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, share := range []int{30, 60, 100} {
 			for _, frequent := range []int{1, 6, 50} {
@@ -127,61 +125,61 @@
 	}
 }
 
-// TestSixCopiesAtOnceCostOneServerMore: six copies are under way as the first server ends. The
-// next one, sent alone, ends the last server.
-func TestSixCopiesAtOnceCostOneServerMore(t *testing.T) {
+// Six attempts are in flight when the first server crashes. The next attempt, dispatched alone,
+// crashes the last server.
+func TestConcurrentAttemptsNeedOneMoreCrash(t *testing.T) {
 	table := New()
 	for s := range 6 {
-		table.end(fmt.Sprint("s-", s), 20*s, work(1))
+		table.crashed(fmt.Sprint("s-", s), 20*s, content(1))
 	}
-	assert.Equal(t, Suspect, table.Verdict(at(500), work(1)))
-	table.Merge(at(900), News{Digest: work(1), Server: "s-6", Alone: true, At: at(900)})
-	assert.Equal(t, Held, table.Verdict(at(900).Add(settleTime), work(1)))
+	assert.Equal(t, Suspect, table.Verdict(at(500), content(1)))
+	table.Merge(at(900), News{Digest: content(1), Server: "s-6", Alone: true, At: at(900)})
+	assert.Equal(t, Held, table.Verdict(at(900).Add(settleTime), content(1)))
 }
 
-// TestCopiesSentAloneCountEach: a request that ends its server at once is sent again within
-// milliseconds, so that its ends lie in the time of one event.
-func TestCopiesSentAloneCountEach(t *testing.T) {
+// A request that crashes its server at once is retried within milliseconds, so that its crashes fall
+// within one event.
+func TestSoleAttemptsCountSeparately(t *testing.T) {
 	table := New()
-	table.end("s-1", 0, work(1))
+	table.crashed("s-1", 0, content(1))
 	for i, server := range []string{"s-2", "s-3"} {
 		ms := 5 * (i + 1)
-		table.Merge(at(ms), News{Digest: work(1), Server: server, Alone: true, At: at(ms)})
+		table.Merge(at(ms), News{Digest: content(1), Server: server, Alone: true, At: at(ms)})
 	}
-	assert.Equal(t, Unsettled, table.Verdict(at(20), work(1)))
-	assert.Equal(t, Held, table.Verdict(at(20).Add(settleTime), work(1)))
+	assert.Equal(t, Unsettled, table.Verdict(at(20), content(1)))
+	assert.Equal(t, Held, table.Verdict(at(20).Add(settleTime), content(1)))
 }
 
-// TestWorkIsHeldBesideKills: four to thirty servers are killed each second, while a request ends
-// the server of each copy, which is sent alone as soon as the one before has ended. Of its ends
-// some fall into a kill's time and count little; it is held after a few more, within the time in
-// which each entry must know of the third.
-func TestWorkIsHeldBesideKills(t *testing.T) {
+// Four to thirty servers are killed each second, while a request crashes the server of each attempt,
+// which is dispatched alone as soon as the one before has failed. Some of its crashes coincide with a
+// kill and weigh little; it is quarantined after a few more, within the time in which each entry must
+// know of the third.
+func TestContentIsQuarantinedDuringKills(t *testing.T) {
 	const spreadMS = 3000
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 4))
 		killed, firstKill := 4+r.IntN(27), r.IntN(1000)
 		table := New()
-		next, ends, third, ms := 0, 0, 0, 0
-		for ; table.Verdict(at(ms), work(0)) != Held; ms += 10 {
+		next, crashes, third, ms := 0, 0, 0, 0
+		for ; table.Verdict(at(ms), content(0)) != Held; ms += 10 {
 			if ms%1000 == firstKill/10*10 {
 				for s := range killed {
-					table.end(fmt.Sprintf("k-%d-%d", ms, s), ms+r.IntN(100), work(1000+s))
+					table.crashed(fmt.Sprintf("k-%d-%d", ms, s), ms+r.IntN(100), content(1000+s))
 				}
 			}
-			if ms >= next && table.Verdict(at(ms), work(0)) != Unsettled {
-				ends++
-				table.Merge(at(ms), News{Digest: work(0), Server: fmt.Sprint("c-", ends), Alone: ends > 1, At: at(ms)})
+			if ms >= next && table.Verdict(at(ms), content(0)) != Unsettled {
+				crashes++
+				table.Merge(at(ms), News{Digest: content(0), Server: fmt.Sprint("c-", crashes), Alone: crashes > 1, At: at(ms)})
 				next = ms + 100 + r.IntN(400)
-				if ends == 3 {
+				if crashes == 3 {
 					third = ms
 				}
 			}
 			if ms > 20000 {
-				t.Fatalf("seed %d: not held after %d ends", seed, ends)
+				t.Fatalf("seed %d: not quarantined after %d crashes", seed, crashes)
 			}
 		}
 		assert.LessOrEqual(t, ms-third, spreadMS, "seed %d: %d servers killed each second", seed, killed)
-		t.Logf("seed %d: held %d ms after the third of %d ends, %d servers killed each second", seed, ms-third, ends, killed)
+		t.Logf("seed %d: quarantined %d ms after the third of %d crashes, %d servers killed each second", seed, ms-third, crashes, killed)
 	}
 }
--- a/internal/quarantine/size_test.go
+++ b/internal/quarantine/size_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkRecordSize is what a full table takes, with three ends of servers under each piece of work.
+// BenchmarkRecordSize measures the memory of a full table with three crashes per content.
 func BenchmarkRecordSize(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
@@ -15,7 +15,7 @@
 		table := New()
 		for i := range maxRecords {
 			for j := range 3 {
-				table.end(fmt.Sprintf("server-%d-%d", i/8, j), 1000*j, work(i))
+				table.crashed(fmt.Sprintf("server-%d-%d", i/8, j), 1000*j, content(i))
 			}
 		}
 		runtime.GC()
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -7,83 +7,83 @@
 )
 
 const (
-	// forgetAfter is how long ends and verdicts count. What ends a server does so until the
-	// server or its weights are replaced. After it the work may run again, once at a time: one
-	// server in ten minutes, of a hundred that are each out for 5 s.
-	forgetAfter = 10 * time.Minute
-	// forgetCleared is for how long it is remembered that an end was cleared: longer than news
-	// of it is under way. Most ends are cleared within seconds.
-	forgetCleared = 30 * time.Second
-	// maxRecords bounds the work that is known, 670 bytes each with three ends (BenchmarkRecordSize):
-	// that of all the slots of 300 servers that end at once. What was touched longest ago is dropped first, work that is
-	// held back last.
+	// retention is how long crashes and verdicts count. Content that crashes servers does so until the
+	// servers or their weights are replaced. After this time it may be dispatched again, one attempt at
+	// a time: this costs one server in ten minutes, of a hundred that are each out for 5 s.
+	retention = 10 * time.Minute
+	// clearedRetention is how long a cleared crash is remembered; updates about it are under way
+	// for less. Most crashes are cleared within seconds.
+	clearedRetention = 30 * time.Second
+	// maxRecords bounds the known content, 670 bytes each with three crashes (BenchmarkRecordSize):
+	// that of all slots of 300 servers that crash at once. The record changed longest ago is evicted
+	// first, quarantined content last.
 	maxRecords = 4096
 )
 
-// News is one fact. With a Server, the work was in flight there when that start of a server
-// ended, and Cleared tells that it was answered in full since. Without one, the work is held, or,
-// Cleared, was let go by an operator: what was known of it until then counts no more.
+// News is an update with one fact. With a Server, the content was in flight at that incarnation of a
+// server when it crashed, and Cleared means that it was answered completely since. Without a Server,
+// the content is quarantined or, if Cleared, was released by an operator: earlier facts count no more.
 type News struct {
 	Digest  Digest
 	Server  string
 	Cleared bool
-	// Alone: the work was sent there after another server had ended under it, as the only
-	// copy.
+	// Alone: the attempt was dispatched after another server had crashed with the content, as the
+	// only one in flight.
 	Alone bool
-	// At is when the server ended, or the work began to be held or was let go, by the clock of
+	// At is when the server crashed, or the content was quarantined or released, by the clock of
 	// the table.
 	At time.Time
 }
 
-// relaySlack is by how much later the same fact may seem to be when it comes over several
-// daemons, each of which tells its age: one that is let go twice within it is let go once.
+// relaySlack is how much the times of one release may differ when it arrives through several
+// daemons, each of which passes its age on: two releases within it are one.
 const relaySlack = time.Second
 
-type fact struct {
+type crash struct {
 	at             time.Time
 	cleared, alone bool
 }
 
 type record struct {
-	// ends are facts by start of a server.
-	ends map[string]fact
-	// heldAt is when the verdict became final, liftedAt when an operator let the work go;
-	// zero if that was not.
-	heldAt, liftedAt time.Time
-	touchedAt        time.Time
+	// crashes is keyed by the incarnation of the server.
+	crashes map[string]crash
+	// quarantinedAt is when the content was quarantined, releasedAt when an operator released it;
+	// zero if that has not happened.
+	quarantinedAt, releasedAt time.Time
+	touchedAt                 time.Time
 }
 
-// held tells whether the verdict is final.
-func (r *record) held() bool { return r.heldAt.After(r.liftedAt) }
+// quarantined reports whether the content is quarantined and has not been released since.
+func (r *record) quarantined() bool { return r.quarantinedAt.After(r.releasedAt) }
 
-// Table holds what is known of work and of servers that ended. It is not safe for
+// Table holds the known crashes of servers and the content that was in flight. It is not safe for
 // concurrent use.
 type Table struct {
 	records map[Digest]*record
-	// servers are the starts that ended, and when, whatever ran there.
+	// servers are the times at which incarnations crashed, whatever was in flight there.
 	servers map[string]time.Time
 }
 
 // New returns an empty table.
 func New() *Table { return &Table{records: map[Digest]*record{}, servers: map[string]time.Time{}} }
 
-// Empty tells whether nothing is held against any work.
+// Empty reports whether no content is known.
 func (t *Table) Empty() bool { return len(t.records) == 0 }
 
-// Len returns how many pieces of work are known.
+// Len returns the number of known contents.
 func (t *Table) Len() int { return len(t.records) }
 
-// Merge takes a fact in, and tells whether it was new.
+// Merge adds a fact and reports whether it was new.
 func (t *Table) Merge(now time.Time, n News) bool {
-	if now.Sub(n.At) > forgetAfter {
+	if now.Sub(n.At) > retention {
 		return false
 	}
 	r := t.records[n.Digest]
 	if r == nil {
 		if len(t.records) >= maxRecords {
-			t.dropOldest()
+			t.evictOldest()
 		}
-		r = &record{ends: map[string]fact{}}
+		r = &record{crashes: map[string]crash{}}
 		t.records[n.Digest] = r
 	}
 	r.touchedAt = now
@@ -93,39 +93,39 @@
 	if at, known := t.servers[n.Server]; !known || n.At.Before(at) {
 		t.servers[n.Server] = n.At
 	}
-	known, ok := r.ends[n.Server]
+	known, ok := r.crashes[n.Server]
 	if !ok {
 		known.at = n.At
 	}
-	joined := fact{at: known.at, cleared: known.cleared || n.Cleared, alone: known.alone || n.Alone}
-	r.ends[n.Server] = joined
+	joined := crash{at: known.at, cleared: known.cleared || n.Cleared, alone: known.alone || n.Alone}
+	r.crashes[n.Server] = joined
 	return !ok || joined != known
 }
 
-// mergeVerdict takes in that work is held or was let go.
+// mergeVerdict records that the content is quarantined or was released.
 func (r *record) mergeVerdict(n News) bool {
 	if n.Cleared {
-		if n.At.Sub(r.liftedAt) <= relaySlack {
+		if n.At.Sub(r.releasedAt) <= relaySlack {
 			return false
 		}
-		r.liftedAt = n.At
+		r.releasedAt = n.At
 		return true
 	}
-	wasHeld := r.held()
-	if n.At.After(r.heldAt) {
-		r.heldAt = n.At
+	wasQuarantined := r.quarantined()
+	if n.At.After(r.quarantinedAt) {
+		r.quarantinedAt = n.At
 	}
-	return !wasHeld && r.held()
+	return !wasQuarantined && r.quarantined()
 }
 
-// Served notes that work was answered in full, and returns the facts that this clears.
+// Served records that the content was answered completely, and returns the facts that this clears.
 func (t *Table) Served(now time.Time, d Digest) []News {
 	r := t.records[d]
 	if r == nil {
 		return nil
 	}
 	var out []News
-	for server, f := range r.ends {
+	for server, f := range r.crashes {
 		if !f.cleared {
 			n := News{Digest: d, Server: server, Cleared: true, At: f.at}
 			t.Merge(now, n)
@@ -135,26 +135,26 @@
 	return out
 }
 
-// Evidence returns the starts of servers that count against work, in the order of names.
+// Evidence returns the crashed incarnations of servers that count against the content, sorted.
 func (t *Table) Evidence(d Digest) []string {
 	r := t.records[d]
 	if r == nil {
 		return nil
 	}
 	var out []string
-	for _, server := range slices.Sorted(maps.Keys(r.ends)) {
-		if r.counts(r.ends[server]) {
+	for _, server := range slices.Sorted(maps.Keys(r.crashes)) {
+		if r.counts(r.crashes[server]) {
 			out = append(out, server)
 		}
 	}
 	return out
 }
 
-// Settle makes the verdict final for work that is to be held, and returns the news of it.
+// Settle quarantines the content whose verdict is Held by now, and returns the updates about it.
 func (t *Table) Settle(now time.Time) []News {
 	var out []News
 	for d, r := range t.records {
-		if !r.held() && t.Verdict(now, d) == Held {
+		if !r.quarantined() && t.Verdict(now, d) == Held {
 			n := News{Digest: d, At: now}
 			t.Merge(now, n)
 			out = append(out, n)
@@ -163,64 +163,64 @@
 	return out
 }
 
-// All returns what counts, for a daemon that knows nothing: not what was cleared.
+// All returns all facts that count, for a daemon that has just started; cleared crashes are left out.
 func (t *Table) All() []News {
 	var out []News
 	for d, r := range t.records {
-		for server, f := range r.ends {
+		for server, f := range r.crashes {
 			if r.counts(f) {
 				out = append(out, News{Digest: d, Server: server, Alone: f.alone, At: f.at})
 			}
 		}
-		if !r.liftedAt.IsZero() {
-			out = append(out, News{Digest: d, Cleared: true, At: r.liftedAt})
+		if !r.releasedAt.IsZero() {
+			out = append(out, News{Digest: d, Cleared: true, At: r.releasedAt})
 		}
-		if r.held() {
-			out = append(out, News{Digest: d, At: r.heldAt})
+		if r.quarantined() {
+			out = append(out, News{Digest: d, At: r.quarantinedAt})
 		}
 	}
 	return out
 }
 
-// Forget drops what no longer counts.
+// Forget drops the facts that have expired.
 func (t *Table) Forget(now time.Time) {
 	for server, at := range t.servers {
-		if now.Sub(at) > forgetAfter {
+		if now.Sub(at) > retention {
 			delete(t.servers, server)
 		}
 	}
 	for d, r := range t.records {
-		maps.DeleteFunc(r.ends, func(_ string, f fact) bool {
-			return now.Sub(f.at) > forgetAfter || f.cleared && now.Sub(r.touchedAt) > forgetCleared
+		maps.DeleteFunc(r.crashes, func(_ string, f crash) bool {
+			return now.Sub(f.at) > retention || f.cleared && now.Sub(r.touchedAt) > clearedRetention
 		})
-		if now.Sub(r.heldAt) > forgetAfter {
-			r.heldAt = time.Time{}
+		if now.Sub(r.quarantinedAt) > retention {
+			r.quarantinedAt = time.Time{}
 		}
-		if now.Sub(r.liftedAt) > forgetAfter {
-			r.liftedAt = time.Time{}
+		if now.Sub(r.releasedAt) > retention {
+			r.releasedAt = time.Time{}
 		}
-		if len(r.ends) == 0 && r.heldAt.IsZero() && r.liftedAt.IsZero() {
+		if len(r.crashes) == 0 && r.quarantinedAt.IsZero() && r.releasedAt.IsZero() {
 			delete(t.records, d)
 		}
 	}
 }
 
-// dropOldest makes room for one more record.
-func (t *Table) dropOldest() {
+// evictOldest drops one record to make space for another.
+func (t *Table) evictOldest() {
 	var oldest Digest
 	var least *record
 	for d, r := range t.records {
-		if least == nil || r.before(least) {
+		if least == nil || r.evictedBefore(least) {
 			oldest, least = d, r
 		}
 	}
 	delete(t.records, oldest)
 }
 
-// before tells whether a record is dropped sooner than another.
-func (r *record) before(other *record) bool {
-	if r.held() != other.held() {
-		return !r.held()
+// evictedBefore reports whether the record is evicted before another.
+func (r *record) evictedBefore(other *record) bool {
+	if r.quarantined() != other.quarantined() {
+		return !r.quarantined()
 	}
 	return r.touchedAt.Before(other.touchedAt)
 }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -16,88 +16,87 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func work(n int) Digest { return DigestOf("org", "POST", "h", fmt.Sprint("/", n), nil) }
+func content(n int) Digest { return DigestOf("org", "POST", "h", fmt.Sprint("/", n), nil) }
 
-// end notes that pieces of work were at a server when it ended.
-func (t *Table) end(server string, ms int, digests ...Digest) {
+// crashed records that contents were in flight at a server when it crashed.
+func (t *Table) crashed(server string, ms int, digests ...Digest) {
 	for _, d := range digests {
 		t.Merge(at(ms), News{Digest: d, Server: server, At: at(ms)})
 	}
 }
 
-func TestWorkIsHeldAfterTheThirdEnd(t *testing.T) {
+func TestContentIsQuarantinedAfterThreeCrashes(t *testing.T) {
 	table := New()
-	assert.Equal(t, Free, table.Verdict(at(0), work(1)))
-	table.end("s-1", 0, work(1))
-	table.end("s-1", 5, work(1)) // told again, by another entry
-	assert.Equal(t, Suspect, table.Verdict(at(5), work(1)))
-	table.end("s-2", 400, work(1))
-	assert.Equal(t, Suspect, table.Verdict(at(1000), work(1)), "two may be a coincidence")
-	table.end("s-3", 1100, work(1))
-	assert.Equal(t, Unsettled, table.Verdict(at(1100), work(1)), "not sent, not judged")
-	assert.Equal(t, Held, table.Verdict(at(1100).Add(settleTime), work(1)))
-	assert.Equal(t, []string{"s-1", "s-2", "s-3"}, table.Evidence(work(1)))
-	assert.Equal(t, Free, table.Verdict(at(1500), work(2)), "others are not concerned")
+	assert.Equal(t, Free, table.Verdict(at(0), content(1)))
+	table.crashed("s-1", 0, content(1))
+	table.crashed("s-1", 5, content(1)) // repeated by another entry
+	assert.Equal(t, Suspect, table.Verdict(at(5), content(1)))
+	table.crashed("s-2", 400, content(1))
+	assert.Equal(t, Suspect, table.Verdict(at(1000), content(1)), "two may be a coincidence")
+	table.crashed("s-3", 1100, content(1))
+	assert.Equal(t, Unsettled, table.Verdict(at(1100), content(1)), "not dispatched, not quarantined")
+	assert.Equal(t, Held, table.Verdict(at(1100).Add(settleTime), content(1)))
+	assert.Equal(t, []string{"s-1", "s-2", "s-3"}, table.Evidence(content(1)))
+	assert.Equal(t, Free, table.Verdict(at(1500), content(2)), "other content is unaffected")
 }
 
-func TestAnswerClearsWork(t *testing.T) {
+func TestAnswerClearsContent(t *testing.T) {
 	table, other := New(), New()
 	for i, server := range []string{"s-1", "s-2"} {
-		table.end(server, 1000*i, work(1))
-		other.end(server, 1000*i, work(1))
+		table.crashed(server, 1000*i, content(1))
+		other.crashed(server, 1000*i, content(1))
 	}
-	for _, n := range table.Served(at(1500), work(1)) {
+	for _, n := range table.Served(at(1500), content(1)) {
 		other.Merge(at(1500), n)
 	}
-	assert.Equal(t, Free, table.Verdict(at(1500), work(1)))
-	assert.Equal(t, Free, other.Verdict(at(1500), work(1)), "where it was told, too")
-	other.end("s-2", 1000, work(1)) // late news of what was cleared
-	assert.Equal(t, Free, other.Verdict(at(1600), work(1)))
-	other.end("s-3", 1700, work(1))
-	assert.Equal(t, Suspect, other.Verdict(at(2700), work(1)), "only what came after counts")
+	assert.Equal(t, Free, table.Verdict(at(1500), content(1)))
+	assert.Equal(t, Free, other.Verdict(at(1500), content(1)), "on the other table, too")
+	other.crashed("s-2", 1000, content(1)) // late update about a cleared crash
+	assert.Equal(t, Free, other.Verdict(at(1600), content(1)))
+	other.crashed("s-3", 1700, content(1))
+	assert.Equal(t, Suspect, other.Verdict(at(2700), content(1)), "only later crashes count")
 }
 
-func TestClearedWorkIsForgottenSoon(t *testing.T) {
+func TestClearedContentIsForgottenSoon(t *testing.T) {
 	table := New()
-	table.end("s-1", 0, work(1), work(2))
-	table.Served(at(1000), work(1))
-	assert.Len(t, table.All(), 1, "a daemon that has just started needs no more")
-	table.Forget(at(1000).Add(forgetCleared + time.Second))
+	table.crashed("s-1", 0, content(1), content(2))
+	table.Served(at(1000), content(1))
+	assert.Len(t, table.All(), 1, "cleared crashes are left out")
+	table.Forget(at(1000).Add(clearedRetention + time.Second))
 	assert.Equal(t, 1, table.Len())
-	assert.Equal(t, Suspect, table.Verdict(at(2000), work(2)))
+	assert.Equal(t, Suspect, table.Verdict(at(2000), content(2)))
 }
 
-func TestVerdictEndsAfterAWhile(t *testing.T) {
+func TestVerdictExpires(t *testing.T) {
 	table := New()
 	for i, server := range []string{"s-1", "s-2", "s-3"} {
-		table.end(server, 1000*i, work(1))
+		table.crashed(server, 1000*i, content(1))
 	}
 	now := at(3000)
 	assert.Len(t, table.Settle(now), 1)
-	assert.Empty(t, table.Settle(now), "said once")
-	table.Forget(now.Add(forgetAfter - time.Second))
-	assert.Equal(t, Held, table.Verdict(now.Add(forgetAfter-time.Second), work(1)))
-	table.Forget(now.Add(forgetAfter + time.Second))
+	assert.Empty(t, table.Settle(now), "reported once")
+	table.Forget(now.Add(retention - time.Second))
+	assert.Equal(t, Held, table.Verdict(now.Add(retention-time.Second), content(1)))
+	table.Forget(now.Add(retention + time.Second))
 	assert.True(t, table.Empty())
 }
 
-// TestHeldWorkStaysHeldWithoutItsEvidence: the log keeps the verdict alone, and entries that
-// start later learn no more.
-func TestHeldWorkStaysHeldWithoutItsEvidence(t *testing.T) {
+// Entries that start later receive the verdict from the log without the crashes that led to it.
+func TestQuarantineNeedsNoEvidence(t *testing.T) {
 	table := New()
-	table.Merge(at(0), News{Digest: work(1), At: at(0)})
-	assert.Equal(t, Held, table.Verdict(at(10), work(1)))
+	table.Merge(at(0), News{Digest: content(1), At: at(0)})
+	assert.Equal(t, Held, table.Verdict(at(10), content(1)))
 }
 
-// TestMergeInAnyOrder: both sides of a cut, and entries that heard of things in other orders,
-// come to the same verdicts.
-func TestMergeInAnyOrder(t *testing.T) {
+// Both sides of a network partition, and entries that receive updates in different orders, must
+// reach the same verdicts.
+func TestMergeIsIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var news []News
 		for range rapid.IntRange(1, 40).Draw(t, "facts") {
-			n := News{Digest: work(rapid.IntRange(0, 3).Draw(t, "work")), At: at(rapid.IntRange(0, 5000).Draw(t, "at"))}
+			n := News{Digest: content(rapid.IntRange(0, 3).Draw(t, "work")), At: at(rapid.IntRange(0, 5000).Draw(t, "at"))}
 			if server := rapid.IntRange(0, 6).Draw(t, "server"); server > 0 {
-				// One server ends at one moment.
+				// A server has one time of crash.
 				n.Server, n.At = fmt.Sprint("s-", server), at(700*server)
 				n.Cleared, n.Alone = rapid.Bool().Draw(t, "cleared"), rapid.Bool().Draw(t, "alone")
 			} else if rapid.Bool().Draw(t, "lifted") {
@@ -115,38 +114,38 @@
 			b.Merge(now, n)
 		}
 		for i := range 4 {
-			assert.Equal(t, a.Verdict(now, work(i)), b.Verdict(now, work(i)))
-			assert.Equal(t, a.Evidence(work(i)), b.Evidence(work(i)))
+			assert.Equal(t, a.Verdict(now, content(i)), b.Verdict(now, content(i)))
+			assert.Equal(t, a.Evidence(content(i)), b.Evidence(content(i)))
 		}
 	})
 }
 
-func TestOperatorLetsWorkGo(t *testing.T) {
+func TestOperatorReleasesContent(t *testing.T) {
 	table := New()
 	for i, server := range []string{"s-1", "s-2", "s-3"} {
-		table.end(server, 1000*i, work(1))
+		table.crashed(server, 1000*i, content(1))
 	}
 	table.Settle(at(3000))
-	assert.Equal(t, []Entry{{Digest: work(1), Verdict: Held, Servers: []string{"s-1", "s-2", "s-3"}, Since: at(3000)}}, table.Entries(at(3000)))
-	lifted := News{Digest: work(1), Cleared: true, At: at(5000)}
-	assert.True(t, table.Merge(at(5000), lifted))
-	lifted.At = at(5020)
-	assert.False(t, table.Merge(at(5020), lifted), "the same, over another daemon")
-	assert.Equal(t, Free, table.Verdict(at(5000), work(1)))
+	assert.Equal(t, []Entry{{Digest: content(1), Verdict: Held, Servers: []string{"s-1", "s-2", "s-3"}, Since: at(3000)}}, table.Entries(at(3000)))
+	release := News{Digest: content(1), Cleared: true, At: at(5000)}
+	assert.True(t, table.Merge(at(5000), release))
+	release.At = at(5020)
+	assert.False(t, table.Merge(at(5020), release), "the same release through another daemon")
+	assert.Equal(t, Free, table.Verdict(at(5000), content(1)))
 	assert.Empty(t, table.Entries(at(5000)))
-	table.Merge(at(5100), News{Digest: work(1), At: at(3000)}) // of an entry that has not heard of it
-	assert.Equal(t, Free, table.Verdict(at(5100), work(1)))
+	table.Merge(at(5100), News{Digest: content(1), At: at(3000)}) // from an entry that does not know of the release
+	assert.Equal(t, Free, table.Verdict(at(5100), content(1)))
 	for i, server := range []string{"s-4", "s-5", "s-6"} {
-		table.end(server, 6000+1000*i, work(1))
+		table.crashed(server, 6000+1000*i, content(1))
 	}
-	assert.Equal(t, Held, table.Verdict(at(9000), work(1)), "it ends servers again")
+	assert.Equal(t, Held, table.Verdict(at(9000), content(1)), "it crashes servers again")
 }
 
 func TestDigestIsReadBack(t *testing.T) {
-	d, err := ParseDigest(work(1).String())
+	d, err := ParseDigest(content(1).String())
 	assert.NoError(t, err)
-	assert.Equal(t, work(1), d)
-	for _, text := range []string{"", "12", "xyz", work(1).String() + "00"} {
+	assert.Equal(t, content(1), d)
+	for _, text := range []string{"", "12", "xyz", content(1).String() + "00"} {
 		_, err := ParseDigest(text)
 		assert.Error(t, err, text)
 	}
@@ -155,21 +154,20 @@
 func TestTableIsBounded(t *testing.T) {
 	table := New()
 	for i, server := range []string{"s-1", "s-2", "s-3"} {
-		table.end(server, 1000*i, work(0))
+		table.crashed(server, 1000*i, content(0))
 	}
 	table.Settle(at(4000))
 	for i := range 2 * maxRecords {
-		table.end("s-9", 5000+i, work(i+1))
+		table.crashed("s-9", 5000+i, content(i+1))
 	}
 	assert.Equal(t, maxRecords, table.Len())
-	assert.Equal(t, Held, table.Verdict(at(20000), work(0)), "work that is held is dropped last")
+	assert.Equal(t, Held, table.Verdict(at(20000), content(0)), "quarantined content is evicted last")
 }
 
-// TestKillsOfManyServersHoldNobodyBack: 60 of 100 servers with 8 requests each are killed at
-// once, three times in a row a second apart; what they ran is sent to the others, and the
-// requests of a caller that got no answer come again. Entries hear of it up to 100 ms late.
-// No request but the one that ends servers by itself is held back.
-func TestKillsOfManyServersHoldNobodyBack(t *testing.T) {
+// 60 of 100 servers with 8 requests each are killed at once, three times, a second apart; what was in
+// flight is dispatched to the others, and callers without an answer retry. Entries detect the crashes
+// up to 100 ms late. Only the content that crashes servers by itself may be quarantined.
+func TestSimultaneousKillsQuarantineNoContent(t *testing.T) {
 	const servers, slots, killed, kills = 100, 8, 60, 3
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -179,51 +177,51 @@
 		for s := range servers {
 			for range slots {
 				next++
-				running[s] = append(running[s], work(next))
+				running[s] = append(running[s], content(next))
 			}
 		}
-		crashing, crashedAt := work(0), 0
-		held := map[Digest]bool{}
+		crashing, crashedAt := content(0), 0
+		quarantined := map[Digest]bool{}
 		for kill := range kills {
 			ms := 1000 * kill
 			order := r.Perm(servers)
 			var broken []Digest
 			for _, s := range order[:killed] {
 				broken = append(broken, running[s]...)
-				table.end(fmt.Sprintf("s-%d-%d", s, kill), ms+r.IntN(100), running[s]...)
+				table.crashed(fmt.Sprintf("s-%d-%d", s, kill), ms+r.IntN(100), running[s]...)
 				running[s] = nil
 			}
-			// Between two kills one request ends a server by itself, with all that runs there.
+			// Between two kills one request crashes a server by itself, with all that is in flight there.
 			crashedAt = ms + 500
 			victim := order[servers-1]
-			table.end(fmt.Sprintf("s-%d-%d-crashed", victim, kill), crashedAt, append(running[victim], crashing)...)
+			table.crashed(fmt.Sprintf("s-%d-%d-crashed", victim, kill), crashedAt, append(running[victim], crashing)...)
 			broken = append(broken, running[victim]...)
 			running[victim] = nil
-			for _, d := range broken { // sent to those that are left, without regard to slots
+			for _, d := range broken { // dispatched to the remaining servers, ignoring slots
 				to := order[killed+r.IntN(servers-killed-1)]
 				running[to] = append(running[to], d)
 			}
 			for i := range next {
-				if v := table.Verdict(at(ms+900), work(i+1)); v == Held || v == Unsettled {
-					held[work(i+1)] = true
+				if v := table.Verdict(at(ms+900), content(i+1)); v == Held || v == Unsettled {
+					quarantined[content(i+1)] = true
 				}
 			}
 		}
-		assert.Empty(t, held, "seed %d", seed)
+		assert.Empty(t, quarantined, "seed %d", seed)
 		assert.Equal(t, Held, table.Verdict(at(crashedAt).Add(settleTime), crashing), "seed %d", seed)
 	}
 }
 
-// TestManyCrashingRequestsAtOnceAreHeld: six requests each of which ends servers come at the
-// same time, so that none of them explains most of the ends.
-func TestManyCrashingRequestsAtOnceAreHeld(t *testing.T) {
+// Six contents that each crash servers arrive at the same time, so that none of them explains most
+// of the crashes.
+func TestManyCrashingRequestsAtOnceAreQuarantined(t *testing.T) {
 	table := New()
 	for round := range 6 {
 		for i := range 6 {
-			table.end(fmt.Sprintf("s-%d-%d", i, round), 500*round+10*i, work(i))
+			table.crashed(fmt.Sprintf("s-%d-%d", i, round), 500*round+10*i, content(i))
 		}
 	}
 	for i := range 6 {
-		assert.Equal(t, Held, table.Verdict(at(4000), work(i)))
+		assert.Equal(t, Held, table.Verdict(at(4000), content(i)))
 	}
 }
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -7,59 +7,59 @@
 )
 
 const (
-	// endsToHold is under how many ends of servers work is held back: one may be an
-	// accident of the server, two may be a coincidence of kills, and each further try costs
-	// all answers in progress at one more server.
-	endsToHold = 3
-	// fullWeight is what one end counts, where a common event counts 1; eventEnds is how many of the ends of one event count
-	// at most. Work that callers ask for again and again is at most servers at any moment, so
-	// that a loss of power of a rack ends servers under several copies of it: that is one
-	// observation, which a further copy, sent alone, has to confirm. Work that does end
-	// servers costs one server more for it where several copies were under way.
-	fullWeight, eventEnds = 12, 2
-	// eventWindow is within what time of the first of them ends are one event. Kills at the
-	// same moment reach the entries within some ms, or a round trip of 100 ms; daemons that
-	// are short of processor time see and tell them up to some hundred ms later.
+	// crashesToQuarantine is the number of crashes after which content is quarantined: one may be a
+	// fault of the server, two may be coincidental kills, and each further attempt costs all answers
+	// in progress at one more server.
+	crashesToQuarantine = 3
+	// crashWeight is the weight of one crash, where a common event weighs 1; maxCrashesPerEvent is how
+	// many crashes of one event count at most. Content that callers request all the time is in flight at
+	// most servers, so that a power loss of a rack crashes several servers with it: that is one
+	// observation, which a further attempt, dispatched alone, has to confirm. Content that does crash
+	// servers costs one more server where several attempts were in flight.
+	crashWeight, maxCrashesPerEvent = 12, 2
+	// eventWindow is the time since its first crash within which crashes are one event. Entries see
+	// simultaneous kills within some ms, or a round trip of 100 ms; daemons that are short of
+	// processor time detect and report them up to some hundred ms later.
 	eventWindow = time.Second
-	// commonEnds is from how many servers on that end within commonWindow an event is common,
-	// if the work was at less than half of them: a power loss, a roll. Common events count
-	// the square of their number: one copy at a time meets one or two of them by chance,
-	// and counts less than one end for three; at the sixth it is held, since several
-	// requests that end servers may be about at the same time.
-	commonEnds   = 4
-	commonWindow = 250 * time.Millisecond
-	// settleTime is for how long the news of an event may still come in: work is not
-	// judged before, only not sent.
+	// An event is common, such as a power loss or a rolling restart, if at least commonEventServers
+	// servers crash within commonWindow and the content was at less than half of them. Common events
+	// weigh the square of their number: content with one attempt at a time meets one or two by chance,
+	// and three weigh less than one crash; at the sixth it is quarantined, since several requests that
+	// crash servers may be active at the same time.
+	commonEventServers = 4
+	commonWindow       = 250 * time.Millisecond
+	// settleTime is how long updates about an event may still arrive: until then content is not
+	// quarantined, only not dispatched.
 	settleTime = 300 * time.Millisecond
 )
 
-// Verdict is how work may be sent.
+// Verdict says how content may be dispatched.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Free work ended no server, or was answered since.
+	// Free content has crashed no server, or was answered since.
 	Free Verdict = iota
-	// Suspect work was at a server that ended: one copy of it runs at a time.
+	// Suspect content was at a server that crashed: it runs one attempt at a time.
 	Suspect
-	// Unsettled work was at so many that ended that it may be at fault: it waits until the
-	// news of other ends has come in.
+	// Unsettled content was at so many servers that crashed that it may be the cause: it waits
+	// until updates about other crashes have arrived.
 	Unsettled
-	// Held work is not sent to any server.
+	// Held content is quarantined: it is not dispatched to any server.
 	Held
 )
 
-// String returns the verdict's name in logs.
+// String returns the verdict's name, as in logs.
 func (v Verdict) String() string { return [...]string{"free", "suspect", "unsettled", "held"}[v] }
 
-// Verdict judges work as of now.
+// Verdict returns the verdict on the content as of now.
 func (t *Table) Verdict(now time.Time, d Digest) Verdict {
 	r := t.records[d]
 	if r == nil {
 		return Free
 	}
-	if r.held() {
-		if now.Sub(r.heldAt) < forgetAfter {
+	if r.quarantined() {
+		if now.Sub(r.quarantinedAt) < retention {
 			return Held
 		}
 		return Suspect
@@ -67,12 +67,12 @@
 	switch counted := r.counted(); {
 	case counted == 0:
 		return Free
-	case counted < endsToHold:
+	case counted < crashesToQuarantine:
 		return Suspect
 	}
 	weight, newest := t.weigh(r)
 	switch {
-	case weight < endsToHold*fullWeight:
+	case weight < crashesToQuarantine*crashWeight:
 		return Suspect
 	case now.Sub(newest) < settleTime:
 		return Unsettled
@@ -80,73 +80,74 @@
 	return Held
 }
 
-// weigh sums the ends that count against work up by event, and returns when the newest was.
+// weigh returns the weight of all crashes that count against the content, by event, and the time of
+// the newest of them.
 func (t *Table) weigh(r *record) (weight int, newest time.Time) {
-	ends := r.countedEnds()
-	if len(ends) > 0 {
-		newest = ends[len(ends)-1].at
+	crashes := r.countedCrashes()
+	if len(crashes) > 0 {
+		newest = crashes[len(crashes)-1].at
 	}
 	common := 0
-	var own []fact
-	for _, moment := range within(commonWindow, ends) {
-		ended, explained := t.endedAt(r, moment[0].at)
+	var uncommon []crash
+	for _, group := range groupWithin(commonWindow, crashes) {
+		crashed, involved := t.crashedAround(r, group[0].at)
 		switch {
-		case ended >= commonEnds && 2*explained < ended:
+		case crashed >= commonEventServers && 2*involved < crashed:
 			common++
-		case ended >= commonEnds:
-			// Also a copy that was sent alone may have met one of the servers that were about
-			// to end with the others.
-			own = append(own, besideOthers(moment)...)
+		case crashed >= commonEventServers:
+			// Even an attempt that was dispatched alone may have reached a server that was about to
+			// crash with the others.
+			uncommon = append(uncommon, asConcurrent(group)...)
 		default:
-			own = append(own, moment...)
+			uncommon = append(uncommon, group...)
 		}
 	}
-	for _, event := range within(eventWindow, own) {
-		weight += observations(event) * fullWeight
+	for _, event := range groupWithin(eventWindow, uncommon) {
+		weight += countObservations(event) * crashWeight
 	}
 	return weight + common*common, newest
 }
 
-// within parts ends, the first one first, into those within this time of the first of each part.
-func within(window time.Duration, ends []fact) (parts [][]fact) {
-	for len(ends) > 0 {
-		n := sort.Search(len(ends), func(i int) bool { return ends[i].at.Sub(ends[0].at) > window })
-		parts = append(parts, ends[:n])
-		ends = ends[n:]
+// groupWithin splits sorted crashes into groups that each span at most window from their first crash.
+func groupWithin(window time.Duration, crashes []crash) (parts [][]crash) {
+	for len(crashes) > 0 {
+		n := sort.Search(len(crashes), func(i int) bool { return crashes[i].at.Sub(crashes[0].at) > window })
+		parts = append(parts, crashes[:n])
+		crashes = crashes[n:]
 	}
 	return parts
 }
 
-// observations is how many ends of one event count: each under a copy that was sent alone, and
-// eventEnds at most of those under copies that were under way at the same time.
-func observations(ends []fact) int {
+// countObservations returns how many crashes of one event count: each under an attempt that was
+// dispatched alone, and at most maxCrashesPerEvent under concurrent attempts.
+func countObservations(crashes []crash) int {
 	alone := 0
-	for _, f := range ends {
+	for _, f := range crashes {
 		if f.alone {
 			alone++
 		}
 	}
-	return alone + min(len(ends)-alone, eventEnds)
+	return alone + min(len(crashes)-alone, maxCrashesPerEvent)
 }
 
-// countedEnds returns the ends that count against the work, the first one first.
-func (r *record) countedEnds() []fact {
-	var ends []fact
-	for _, f := range r.ends {
+// countedCrashes returns the crashes that count against the content, oldest first.
+func (r *record) countedCrashes() []crash {
+	var crashes []crash
+	for _, f := range r.crashes {
 		if r.counts(f) {
-			ends = append(ends, f)
+			crashes = append(crashes, f)
 		}
 	}
-	slices.SortFunc(ends, func(a, b fact) int { return a.at.Compare(b.at) })
-	return ends
+	slices.SortFunc(crashes, func(a, b crash) int { return a.at.Compare(b.at) })
+	return crashes
 }
 
-// counts tells whether a fact counts against the work.
-func (r *record) counts(f fact) bool { return !f.cleared && f.at.After(r.liftedAt) }
+// counts reports whether a crash counts against the content.
+func (r *record) counts(f crash) bool { return !f.cleared && f.at.After(r.releasedAt) }
 
-// counted is how many facts count against the work.
+// counted returns the number of crashes that count against the content.
 func (r *record) counted() (n int) {
-	for _, f := range r.ends {
+	for _, f := range r.crashes {
 		if r.counts(f) {
 			n++
 		}
@@ -154,25 +155,26 @@
 	return n
 }
 
-// besideOthers returns ends as those of copies that were under way at the same time.
-func besideOthers(ends []fact) []fact {
-	out := slices.Clone(ends)
+// asConcurrent returns the crashes as if none of the attempts had been dispatched alone.
+func asConcurrent(crashes []crash) []crash {
+	out := slices.Clone(crashes)
 	for i := range out {
 		out[i].alone = false
 	}
 	return out
 }
 
-// endedAt returns how many servers ended at about this time, and at how many of them the work was.
-func (t *Table) endedAt(r *record, at time.Time) (ended, explained int) {
+// crashedAround returns how many servers crashed at about this time, and how many of them had the
+// content in flight.
+func (t *Table) crashedAround(r *record, at time.Time) (crashed, involved int) {
 	for server, other := range t.servers {
 		if other.Sub(at).Abs() > commonWindow {
 			continue
 		}
-		ended++
-		if _, ok := r.ends[server]; ok {
-			explained++
+		crashed++
+		if _, ok := r.crashes[server]; ok {
+			involved++
 		}
 	}
-	return ended, explained
+	return crashed, involved
 }
