--- a/internal/backpressure/backoff.go
+++ b/internal/backpressure/backoff.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// maxBackoff bounds what one answer can ask for.
+// maxBackoff bounds the backoff that one answer can request.
 const maxBackoff = 24 * time.Hour
 
-// ReadRetryAfter reads for how long an answer asks the sender to send nothing: the seconds of
-// Retry-After, fractions allowed, or its date by the answer's own clock; without a date of the
-// answer, by wall, the time of day here. 0 if it doesn't ask, or can't be read.
+// ReadRetryAfter returns the backoff that an answer requests: the seconds of Retry-After, fractions
+// allowed, or its date relative to the answer's Date header or, without one, to wall, the local time
+// of day. It returns 0 if the header is missing or invalid.
 func ReadRetryAfter(h http.Header, wall time.Time) time.Duration {
 	value := strings.TrimSpace(h.Get("Retry-After"))
 	if value == "" {
@@ -35,14 +35,14 @@
 	return min(max(until.Sub(wall), 0), maxBackoff)
 }
 
-// Backoff is until when a start of a backend server wants nothing from this entry.
+// Backoff is the time for which an incarnation of a backend server accepts no requests of this entry.
 type Backoff struct {
-	// Until is when it ends; AskedAt when it was requested last.
+	// Until is when it is over; AskedAt when it was requested last.
 	Until, AskedAt time.Time
 }
 
-// Ask takes a request for backoff; a shorter one does not end a longer one. It returns whether the
-// server was not backing off before.
+// Ask records a request for backoff; a shorter one does not cut a longer one. It reports whether
+// the server was not backing off before.
 func (r *Backoff) Ask(now time.Time, d time.Duration) bool {
 	if d <= 0 {
 		return false
@@ -55,5 +55,5 @@
 	return begins
 }
 
-// Over tells whether the server may be asked.
+// Over reports whether requests may be dispatched to the server.
 func (r *Backoff) Over(now time.Time) bool { return !now.Before(r.Until) }
--- a/internal/backpressure/backoff_test.go
+++ b/internal/backpressure/backoff_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestRestIsRead(t *testing.T) {
+func TestRetryAfterIsParsed(t *testing.T) {
 	wall := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	for _, c := range []struct {
 		value, date string
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestShorterRestEndsNoLongerOne(t *testing.T) {
+func TestShorterBackoffDoesNotCutLongerOne(t *testing.T) {
 	var r Backoff
 	assert.True(t, r.Ask(at(0), 3*time.Second))
 	assert.False(t, r.Ask(at(1), time.Second))
--- a/internal/backpressure/limit.go
+++ b/internal/backpressure/limit.go
@@ -1,8 +1,8 @@
-// Package backpressure keeps what backend servers ask of their callers in the heads of
-// their answers: a limit of requests a second over all entries, and a backoff of one entry's
-// requests.
+// Package backpressure evaluates the signals that backend servers send to their callers in the
+// headers of answers: a limit of requests per second over all entries, and a backoff for the requests
+// of one entry.
 //
-// State: one record by start of a backend server. Messages: none; time is an argument.
+// State: one record per incarnation of a backend server. Messages: News; time is an argument.
 package backpressure
 
 import (
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// Statement is what the head of one answer says of a limit.
+// Statement is what the headers of one answer say about a limit.
 type Statement struct {
-	// Named: the answer names a limit; Rate is in requests a second, of all entries.
+	// Named: the answer names a limit; Rate is in requests per second of all entries together.
 	Named bool
 	Rate  float64
-	// Unreadable: there is a field, and no limit in it. It neither names nor lifts one.
+	// Unreadable: there is a header without a valid limit. It neither sets nor lifts a limit.
 	Unreadable bool
 }
 
-// ReadLimit reads the values of an answer's field: finite decimal numbers, 0 or more. Of
+// ReadLimit parses the values of an answer's header: finite decimal numbers, 0 or more. Of
 // several limits the lowest counts.
 func ReadLimit(values []string) Statement {
 	var s Statement
@@ -38,18 +38,18 @@
 	return s
 }
 
-// Limit is what is known of the limit of one start of a backend server.
+// Limit is the known limit of one incarnation of a backend server.
 type Limit struct {
-	// InForce: the server has named a limit and not lifted it; Rate is in requests a second.
+	// InForce: the server has named a limit and not lifted it; Rate is in requests per second.
 	InForce bool
 	Rate    float64
 	// HeardAt is when it was last named or lifted.
 	HeardAt time.Time
 }
 
-// Hear takes a statement from the answer to a request that was sent at sentAt, and tells
-// whether it changes anything. Answers overtake each other: a limit is lifted, or raised, only
-// by the answer to a request that was sent after it was last named.
+// Hear applies a statement from the answer to a request that was sent at sentAt, and reports
+// whether the limit changed. Answers overtake each other: a limit is lifted or raised only by the
+// answer to a request that was sent after it was last named.
 func (l *Limit) Hear(now, sentAt time.Time, s Statement) bool {
 	overtaken := l.InForce && !sentAt.After(l.HeardAt)
 	switch {
--- a/internal/backpressure/limit_test.go
+++ b/internal/backpressure/limit_test.go
@@ -13,7 +13,7 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func TestLimitIsRead(t *testing.T) {
+func TestLimitIsParsed(t *testing.T) {
 	named := func(rate float64) Statement { return Statement{Named: true, Rate: rate} }
 	for _, c := range []struct {
 		values []string
@@ -37,20 +37,20 @@
 	}
 }
 
-func TestLateAnswerWithoutALimitLiftsNone(t *testing.T) {
+func TestLateAnswerDoesNotLiftLimit(t *testing.T) {
 	var l Limit
 	assert.True(t, l.Hear(at(2), at(1), Statement{Named: true, Rate: 2}))
-	assert.False(t, l.Hear(at(3), at(1.5), Statement{}), "it was sent before the limit was known")
+	assert.False(t, l.Hear(at(3), at(1.5), Statement{}), "the request was sent before the limit was known")
 	assert.False(t, l.Hear(at(3), at(1.5), Statement{Named: true, Rate: 9}))
 	assert.Equal(t, 2.0, l.Rate)
-	assert.True(t, l.Hear(at(3), at(1.5), Statement{Named: true, Rate: 1}), "less counts at once")
+	assert.True(t, l.Hear(at(3), at(1.5), Statement{Named: true, Rate: 1}), "a lower limit counts at once")
 	assert.False(t, l.Hear(at(5), at(4), Statement{Unreadable: true}))
 	assert.True(t, l.Hear(at(5), at(4), Statement{Named: true, Rate: 9}))
 	assert.True(t, l.Hear(at(7), at(6), Statement{}))
 	assert.False(t, l.InForce)
 }
 
-func TestNewsIsPassedOnOnce(t *testing.T) {
+func TestUpdateIsForwardedOnce(t *testing.T) {
 	table := NewTable()
 	named := News{Start: "s", Limited: true, Rate: 2, At: at(1)}
 	merge := func(n News) bool {
@@ -60,20 +60,20 @@
 	assert.True(t, merge(named))
 	again := named
 	again.At = at(1.1)
-	assert.False(t, merge(again), "back from another control server")
+	assert.False(t, merge(again), "returned by another control server")
 	lifted := News{Start: "s", At: at(2)}
 	assert.True(t, merge(lifted))
 	assert.False(t, merge(again), "it is older")
 	assert.Equal(t, []News{lifted}, table.All())
 	leaves := News{Start: "s", Leaving: true, At: at(1.5)}
-	assert.True(t, merge(leaves), "it is never taken back, though later news doesn't say it")
+	assert.True(t, merge(leaves), "leaving is never taken back, even if a later update lacks it")
 	assert.Equal(t, []News{{Start: "s", Leaving: true, At: at(2)}}, table.All())
 	assert.False(t, merge(lifted))
-	table.Forget(at(2).Add(2 * newsRetention))
+	table.Forget(at(2).Add(2 * updateRetention))
 	assert.Empty(t, table.All())
 }
 
-func TestLaterWordOfOtherEntriesCounts(t *testing.T) {
+func TestLaterUpdateFromAnotherEntryWins(t *testing.T) {
 	var l Limit
 	assert.True(t, l.Learn(News{Limited: true, Rate: 2, At: at(1)}))
 	assert.False(t, l.Learn(News{Limited: true, Rate: 2, At: at(2)}))
--- a/internal/backpressure/load_test.go
+++ b/internal/backpressure/load_test.go
@@ -10,34 +10,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The load that is played: callers come to entries at random, some entries have three times the
-// callers of others. One server of a service names a limit at a moment; it is chosen whenever its limit
-// allows. The other servers serve a part of the callers, the others are refused. What the server
-// gets is counted from a second later on.
+// The simulated load: callers send requests to entries at random times, some entries have three times
+// the callers of others. One server of a service names a limit; it is chosen whenever its limit
+// allows. The other servers serve a share of the callers, the rest is refused. Arrivals at the server
+// are counted after the first second.
 type limitLoad struct {
 	entries int
 	rate    float64
-	// asked is how many requests a second come to all entries, over the limit.
-	asked float64
-	// elsewhere is the part of what is asked that other servers serve.
-	elsewhere float64
-	// idle is the part of entries that get no callers until a burst comes to all.
+	// demand is the requests per second to all entries, as a multiple of the limit.
+	demand float64
+	// servedElsewhere is the share of the requests that other servers serve.
+	servedElsewhere float64
+	// idle is the share of entries without callers until a burst reaches all.
 	idle float64
-	// change happens to the entries while the limit is in force.
+	// change is what happens to the entries while the limit is in force.
 	change string
 }
 
 const (
-	loadPlayed  = 60 * time.Second
-	loadCounted = time.Second
-	loadChange  = 20 * time.Second
-	loadTick    = 5 * time.Millisecond
-	// ruleFactor, ruleSlack and ruleSpan are of the users: arrivals in any span.
-	ruleFactor, ruleSlack = 1.5, 5
-	ruleSpan              = 4 * time.Second
+	loadDuration = 60 * time.Second
+	loadWarmUp   = time.Second
+	changeAfter  = 20 * time.Second
+	loadTick     = 5 * time.Millisecond
+	// The requirement: arrivals in any window of allowedWindow.
+	allowedFactor, allowedSlack = 1.5, 5
+	allowedWindow               = 4 * time.Second
 )
 
-// loadEntry is an entry, which knows of the entries that it has heard of.
+// loadEntry is a simulated entry with the entries that it knows of.
 type loadEntry struct {
 	Entry
 	weight float64
@@ -48,21 +48,21 @@
 	gone   bool
 }
 
-// loadGot is what came of a play.
-type loadGot struct {
-	// use is what the server got of its limit, most the most in a span, allowed what may come in one.
+// loadResult is the result of a simulation.
+type loadResult struct {
+	// use is the used share of the limit, maxInWindow the most arrivals in a window, allowed their bound.
 	use, allowed float64
-	most         int
-	// served is the part of callers that a server took.
+	maxInWindow  int
+	// served is the share of callers that a server accepted.
 	served float64
 }
 
-// divide says what part an entry takes itself to have.
+// divide returns the part of a limit that an entry claims.
 type divide func(rate float64, self string, known []Entry) Part
 
 const limitedAddr, limitedZone = "10.0.0.1:80", "zone-0"
 
-// dividers are the ways to share a limit out.
+// dividers are ways to divide a limit among entries.
 var dividers = map[string]divide{
 	"each all": func(rate float64, _ string, _ []Entry) Part { return Part{Rate: rate} },
 	"equal parts": func(rate float64, _ string, known []Entry) Part {
@@ -79,7 +79,7 @@
 	},
 }
 
-func (l limitLoad) play(seed uint64, how divide) loadGot {
+func (l limitLoad) play(seed uint64, how divide) loadResult {
 	draw := rand.New(rand.NewPCG(seed, 7))
 	var entries []*loadEntry
 	var names []Entry
@@ -96,14 +96,14 @@
 	}
 	var arrivals []time.Time
 	callers, served := 0, 0
-	for now := start; now.Sub(start) < loadPlayed; now = now.Add(loadTick) {
-		if now.Sub(start) == loadChange {
+	for now := start; now.Sub(start) < loadDuration; now = now.Add(loadTick) {
+		if now.Sub(start) == changeAfter {
 			entries = l.apply(entries, names, now)
 			for _, e := range entries {
 				e.part = how(l.rate, e.Name, e.known)
 			}
 		}
-		if l.idle > 0 && now.Sub(start) == 2*loadChange {
+		if l.idle > 0 && now.Sub(start) == 2*changeAfter {
 			for _, e := range entries {
 				e.weight = 1
 			}
@@ -113,7 +113,7 @@
 			sum += e.weight
 		}
 		for _, e := range entries {
-			chance := l.asked * l.rate * loadTick.Seconds() * e.weight / sum
+			chance := l.demand * l.rate * loadTick.Seconds() * e.weight / sum
 			if e.gone || e.frozen || draw.Float64() >= chance {
 				continue
 			}
@@ -123,42 +123,42 @@
 				e.pacer.Sent(now)
 				arrivals = append(arrivals, now)
 				served++
-			case draw.Float64() < l.elsewhere:
+			case draw.Float64() < l.servedElsewhere:
 				served++
 			}
 		}
-		if now.Sub(start) == loadChange+5*time.Second {
+		if now.Sub(start) == changeAfter+5*time.Second {
 			for _, e := range entries {
 				e.frozen = false
 			}
 		}
 	}
-	got := loadGot{served: float64(served) / float64(callers), allowed: ruleFactor*l.rate*ruleSpan.Seconds() + ruleSlack}
+	got := loadResult{served: float64(served) / float64(callers), allowed: allowedFactor*l.rate*allowedWindow.Seconds() + allowedSlack}
 	var span []time.Time
 	for _, at := range arrivals {
-		if at.Sub(start) < loadCounted {
+		if at.Sub(start) < loadWarmUp {
 			continue
 		}
 		span = append(span, at)
-		for at.Sub(span[0]) > ruleSpan {
+		for at.Sub(span[0]) > allowedWindow {
 			span = span[1:]
 		}
-		got.most = max(got.most, len(span))
+		got.maxInWindow = max(got.maxInWindow, len(span))
 	}
-	got.use = float64(len(arrivals)) / (l.rate * loadPlayed.Seconds())
+	got.use = float64(len(arrivals)) / (l.rate * loadDuration.Seconds())
 	return got
 }
 
-// apply brings the change about.
+// apply applies the change.
 func (l limitLoad) apply(entries []*loadEntry, names []Entry, now time.Time) []*loadEntry {
 	half := len(names) / 2
 	switch l.change {
-	case "joins": // one of the others never hears of it
+	case "joins": // one of the others never learns of it
 		e := &loadEntry{Entry: Entry{Name: "joined", Zone: limitedZone}, weight: 1, known: names}
 		e.pacer.Begin(now)
 		entries = append(entries, e)
 		for i, other := range entries {
-			if i > 0 { // the new one is among them
+			if i > 0 { // the new entry is included
 				other.known = append(names[:len(names):len(names)], e.Entry)
 			}
 		}
@@ -179,51 +179,51 @@
 	return entries
 }
 
-// Beside the limit, callers ask for so much that an entry has several requests for each that its part allows,
-// as where one of many servers names a limit.
+// The demand exceeds the limit so far that an entry has several requests for each that its part
+// allows, as when one of many servers names a limit.
 var limitLoads = map[string]limitLoad{
-	"4 entries":                {entries: 4, rate: 2.3, asked: 5, elsewhere: 0.7},
-	"4 entries, little load":   {entries: 4, rate: 2.3, asked: 1, elsewhere: 1},
-	"17 entries":               {entries: 17, rate: 2.3, asked: 40, elsewhere: 0.7},
-	"17 entries, less load":    {entries: 17, rate: 2.3, asked: 4, elsewhere: 0.7},
-	"17 entries, 0.1 a second": {entries: 17, rate: 0.1, asked: 400, elsewhere: 0.7},
-	"17 entries, 20 a second":  {entries: 17, rate: 20, asked: 5, elsewhere: 0.7},
-	"180 entries":              {entries: 180, rate: 2.3, asked: 300, elsewhere: 0.7},
-	"17, a burst after calm":   {entries: 17, rate: 0.5, asked: 200, elsewhere: 0.7, idle: 0.9},
-	"17, one joins":            {entries: 17, rate: 2.3, asked: 40, elsewhere: 0.7, change: "joins"},
-	"17, one leaves":           {entries: 17, rate: 2.3, asked: 40, elsewhere: 0.7, change: "leaves"},
-	"17, half freeze":          {entries: 17, rate: 2.3, asked: 40, elsewhere: 0.7, change: "freezes"},
-	"17, half disagree":        {entries: 17, rate: 2.3, asked: 40, elsewhere: 0.7, change: "disagree"},
+	"4 entries":                {entries: 4, rate: 2.3, demand: 5, servedElsewhere: 0.7},
+	"4 entries, little load":   {entries: 4, rate: 2.3, demand: 1, servedElsewhere: 1},
+	"17 entries":               {entries: 17, rate: 2.3, demand: 40, servedElsewhere: 0.7},
+	"17 entries, less load":    {entries: 17, rate: 2.3, demand: 4, servedElsewhere: 0.7},
+	"17 entries, 0.1 a second": {entries: 17, rate: 0.1, demand: 400, servedElsewhere: 0.7},
+	"17 entries, 20 a second":  {entries: 17, rate: 20, demand: 5, servedElsewhere: 0.7},
+	"180 entries":              {entries: 180, rate: 2.3, demand: 300, servedElsewhere: 0.7},
+	"17, a burst after calm":   {entries: 17, rate: 0.5, demand: 200, servedElsewhere: 0.7, idle: 0.9},
+	"17, one joins":            {entries: 17, rate: 2.3, demand: 40, servedElsewhere: 0.7, change: "joins"},
+	"17, one leaves":           {entries: 17, rate: 2.3, demand: 40, servedElsewhere: 0.7, change: "leaves"},
+	"17, half freeze":          {entries: 17, rate: 2.3, demand: 40, servedElsewhere: 0.7, change: "freezes"},
+	"17, half disagree":        {entries: 17, rate: 2.3, demand: 40, servedElsewhere: 0.7, change: "disagree"},
 }
 
-// welcomeUse is the part of a limit that is welcome work.
-const welcomeUse = 0.9
+// minUse is the least share of a limit that must be used.
+const minUse = 0.9
 
 func TestLimitIsKeptAndUsed(t *testing.T) {
 	for name, load := range limitLoads {
 		for seed := range uint64(5) {
 			got := load.play(seed, dividers["few holders"])
-			assert.LessOrEqual(t, float64(got.most), got.allowed, "%s, seed %d", name, seed)
-			if load.asked >= 5 && load.idle == 0 && load.rate > leastRate && load.change == "" {
-				assert.GreaterOrEqual(t, got.use, welcomeUse, "%s, seed %d", name, seed)
+			assert.LessOrEqual(t, float64(got.maxInWindow), got.allowed, "%s, seed %d", name, seed)
+			if load.demand >= 5 && load.idle == 0 && load.rate > minRate && load.change == "" {
+				assert.GreaterOrEqual(t, got.use, minUse, "%s, seed %d", name, seed)
 			}
 		}
 	}
 }
 
-func TestEntriesThatEachTakeTheWholeLimitBreakIt(t *testing.T) {
+func TestWholeLimitPerEntryExceedsIt(t *testing.T) {
 	for _, name := range []string{"4 entries", "17 entries", "180 entries"} {
 		got := limitLoads[name].play(1, dividers["each all"])
-		assert.Greater(t, float64(got.most), got.allowed, name)
+		assert.Greater(t, float64(got.maxInWindow), got.allowed, name)
 	}
 }
 
-// Prints what each way to share a limit out does with it.
-func TestWaysToShareALimit(t *testing.T) {
+// TestCompareDividers logs the results of all ways to divide a limit.
+func TestCompareDividers(t *testing.T) {
 	for name, load := range limitLoads {
 		for way, how := range dividers {
 			got := load.play(1, how)
-			t.Logf("%-26s %-12s use %.2f, most %3d of %.0f, served %.3f", name, way, got.use, got.most, got.allowed, got.served)
+			t.Logf("%-26s %-12s use %.2f, most %3d of %.0f, served %.3f", name, way, got.use, got.maxInWindow, got.allowed, got.served)
 			require.Positive(t, got.served)
 		}
 	}
--- a/internal/backpressure/news.go
+++ b/internal/backpressure/news.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// News is what a start of a backend server has said to one entry, for the others: those that do not
-// ask the server would hear neither that it names a limit nor that it has lifted it.
+// News is an update about the signals of one incarnation of a backend server, received by one entry
+// and passed on to the others: those that send the server nothing would otherwise learn neither
+// that it names a limit nor that it has lifted it.
 type News struct {
-	// Start names the start of the backend server.
+	// Start identifies the incarnation of the backend server.
 	Start string
-	// Limited: a limit is in force; Rate is in requests a second.
+	// Limited: a limit is in force; Rate is in requests per second.
 	Limited bool
 	Rate    float64
-	// Leaving: it takes no new requests for good. It is never taken back.
+	// Leaving: it takes no new requests any more. This is never taken back.
 	Leaving bool
-	// At is when an entry heard it.
+	// At is when an entry received the signal.
 	At time.Time
 }
 
-// says tells whether two pieces of news say the same.
-func (n News) says(other News) bool {
+// sameSignals reports whether two updates carry the same signals.
+func (n News) sameSignals(other News) bool {
 	return n.Limited == other.Limited && n.Rate == other.Rate && n.Leaving == other.Leaving
 }
 
-// newsRetention is for how long news is kept that nobody tells again.
-const newsRetention = 10 * time.Minute
+// updateRetention is how long an update is kept that is not repeated.
+const updateRetention = 10 * time.Minute
 
-// Table holds the latest news by start of a backend server. It is not safe for concurrent use.
+// Table holds the latest update per incarnation of a backend server. It is not safe for concurrent use.
 type Table struct{ latest map[string]News }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{latest: map[string]News{}} }
 
-// Merge takes news, and returns all that is known of the start then and whether that is new: only
-// then it is passed on, so that it does not go round in a circle.
+// Merge adds an update, and returns the merged state of the incarnation and whether it changed: only
+// then it is forwarded, so that updates do not circulate.
 func (t *Table) Merge(n News) (News, bool) {
 	known, ok := t.latest[n.Start]
 	merged := n
@@ -44,18 +45,18 @@
 	}
 	merged.Leaving = n.Leaving || known.Leaving
 	t.latest[n.Start] = merged
-	return merged, !ok || !merged.says(known)
+	return merged, !ok || !merged.sameSignals(known)
 }
 
-// All returns all news.
+// All returns all updates.
 func (t *Table) All() []News { return slices.Collect(maps.Values(t.latest)) }
 
-// Forget drops old news.
+// Forget drops old updates.
 func (t *Table) Forget(now time.Time) {
-	maps.DeleteFunc(t.latest, func(_ string, n News) bool { return now.Sub(n.At) > newsRetention })
+	maps.DeleteFunc(t.latest, func(_ string, n News) bool { return now.Sub(n.At) > updateRetention })
 }
 
-// Learn takes what another entry has heard, and tells whether it changes anything.
+// Learn applies an update of another entry, and reports whether the limit changed.
 func (l *Limit) Learn(n News) bool {
 	if !n.At.After(l.HeardAt) {
 		return false
--- a/internal/backpressure/pacer.go
+++ b/internal/backpressure/pacer.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// burstSpan times its rate is how many requests an entry may send at once, leastBurst at
-	// least: requests come at random, and with one at once much of a small limit is not used.
-	burstSpan  = 500 * time.Millisecond
-	leastBurst = 2
-	// window is the span over which an entry's requests are counted, those before the limit was
-	// named among them; it is kept in parts of windowStep.
+	// burstSpan times its rate is how many requests an entry may send at once, but at least minBurst:
+	// requests arrive at random, and with bursts of one much of a small limit would remain unused.
+	burstSpan = 500 * time.Millisecond
+	minBurst  = 2
+	// window is the span over which an entry's requests are counted, including those sent before the
+	// limit was named; it consists of steps of windowStep.
 	window      = 4 * time.Second
 	windowStep  = 500 * time.Millisecond
 	windowSteps = int(window/windowStep) + 1
-	// probeSpan is for how long a probe that is due may be sent. One that finds no request
-	// by then lapses: after a calm time the probes of many entries would come at once.
+	// probeSpan is how long a due probe may be sent. A probe without a request by then expires:
+	// after a calm time the probes of many entries would otherwise be sent at once.
 	probeSpan = time.Second
 )
 
@@ -34,42 +34,42 @@
 	probeDue time.Time
 }
 
-// Begin empties the pacer as a limit comes into force: entries that hear of it at the same moment
+// Begin empties the pacer when a limit comes into force: entries that receive it at the same moment
 // must not all send at once.
 func (p *Pacer) Begin(now time.Time) {
 	p.tokens, p.at, p.probeDue = 0, now, time.Time{}
 }
 
-// Opens returns when the entry may send next, with this part of the limit; now, if it may send
+// Opens returns when the entry may send next with this part of the limit; now, if it may send
 // at once.
 func (p *Pacer) Opens(now time.Time, part Part) time.Time {
 	if part.Rate <= 0 {
 		return p.probe(now, part.Probe)
 	}
-	burst := max(leastBurst, part.Rate*burstSpan.Seconds())
+	burst := max(minBurst, part.Rate*burstSpan.Seconds())
 	if elapsed := now.Sub(p.at); elapsed > 0 {
 		p.tokens += part.Rate * elapsed.Seconds()
 	}
 	p.tokens, p.at = min(p.tokens, burst), now
-	opens := now
+	earliest := now
 	if p.tokens < 1 {
-		opens = now.Add(seconds((1 - p.tokens) / part.Rate))
+		earliest = now.Add(seconds((1 - p.tokens) / part.Rate))
 	}
-	if float64(p.sent(now)+1) > part.Rate*window.Seconds()+burst {
-		if next := p.origin.Add(time.Duration(p.newest+1) * windowStep); next.After(opens) {
-			opens = next
+	if float64(p.sentInWindow(now)+1) > part.Rate*window.Seconds()+burst {
+		if next := p.origin.Add(time.Duration(p.newest+1) * windowStep); next.After(earliest) {
+			earliest = next
 		}
 	}
-	return opens
+	return earliest
 }
 
-// seconds converts a wait that may be longer than a Duration can say.
+// seconds converts a wait that may exceed the range of a Duration.
 func seconds(s float64) time.Duration {
 	const longest = 24 * time.Hour
 	return time.Duration(min(s, longest.Seconds()) * float64(time.Second))
 }
 
-// probe returns when the next probe is due, and draws it anew if it has lapsed.
+// probe returns when the next probe is due, and draws a new time if the last one has expired.
 func (p *Pacer) probe(now time.Time, mean time.Duration) time.Time {
 	if p.probeDue.IsZero() || now.After(p.probeDue.Add(probeSpan)) {
 		p.probeDue = now.Add(mean/2 + rand.N(max(mean, 1)))
@@ -80,25 +80,25 @@
 	return p.probeDue
 }
 
-// Sent notes a request to the server, limited or not.
+// Sent records a request to the server, limited or not.
 func (p *Pacer) Sent(now time.Time) {
-	p.shift(now)
+	p.advance(now)
 	p.recent[p.newest%int64(windowSteps)]++
 	p.tokens = max(p.tokens-1, -1)
 	p.probeDue = time.Time{}
 }
 
-// sent counts the requests of the last window, or of up to one step more.
-func (p *Pacer) sent(now time.Time) (n int) {
-	p.shift(now)
+// sentInWindow counts the requests of the last window, or of up to one step more.
+func (p *Pacer) sentInWindow(now time.Time) (n int) {
+	p.advance(now)
 	for _, step := range p.recent {
 		n += step
 	}
 	return n
 }
 
-// shift forgets the steps that have left the window.
-func (p *Pacer) shift(now time.Time) {
+// advance clears the steps that have left the window.
+func (p *Pacer) advance(now time.Time) {
 	if p.origin.IsZero() {
 		p.origin = now
 	}
--- a/internal/backpressure/part.go
+++ b/internal/backpressure/part.go
@@ -9,56 +9,56 @@
 	"lynxgate.dev/lynxgate/internal/rendezvous"
 )
 
-// A limit is of all entries together, and each entry knows only what it sends itself. A few
-// entries hold equal parts of it, the others none: with a part for each, as many requests as there
-// are entries might come at once, whatever the limit. Which ones hold a part follows from the
-// names of the entries alone, so that all that know the same entries agree.
+// A limit applies to all entries together, and each entry knows only the requests that it sends itself.
+// A few entries hold equal parts of the limit, the others none: with a part for each, as many requests
+// as there are entries could arrive at once, whatever the limit. The holders follow from the names of
+// the entries alone, so that all entries with the same list agree.
 
 const (
-	// leastHolders is how many entries hold a part of the smallest limit; each perHolder
-	// requests a second make one more. All holders may send leastBurst requests at one moment.
-	leastHolders = 2
-	perHolder    = 2.0
-	// leastRate, in requests a second, is what a server is sent that takes less, of all entries
-	// together: else nobody would hear that it takes more again.
-	leastRate = 0.1
-	// probeShare is the part of a limit that the entries without a part may use to hear of a
-	// change, and leastProbe the least mean time between two requests of one of them.
-	probeShare = 0.1
-	leastProbe = 10 * time.Second
+	// minHolders is the number of entries that hold a part of the smallest limit; each perHolder
+	// requests per second add one. All holders may send minBurst requests at one moment.
+	minHolders = 2
+	perHolder  = 2.0
+	// minRate, in requests per second of all entries together, is also sent to a server with a lower
+	// limit: otherwise no entry would learn that the limit was raised.
+	minRate = 0.1
+	// probeShare is the share of a limit that the entries without a part may use to detect a change,
+	// and minProbeInterval the least mean time between two requests of one of them.
+	probeShare       = 0.1
+	minProbeInterval = 10 * time.Second
 )
 
-// Entry is one of those that send to a backend server.
+// Entry is one of the entries that send to a backend server.
 type Entry struct{ Name, Zone string }
 
 // Part is what one entry may send to a limited server.
 type Part struct {
-	// Rate is in requests a second; 0 for an entry that holds no part.
+	// Rate is in requests per second; 0 for an entry that holds no part.
 	Rate float64
 	// Probe is the mean time between two requests of an entry that holds no part.
 	Probe time.Duration
 }
 
-// WholeOf returns the part of one that holds all of a limit in requests a second.
-func WholeOf(rate float64) Part { return Part{Rate: max(rate, leastRate)} }
+// WholeOf returns the part of an entry that holds the whole limit, in requests per second.
+func WholeOf(rate float64) Part { return Part{Rate: max(rate, minRate)} }
 
-// PartOf returns the part that the entry self holds of a limit in requests a second. Entries in
-// the server's zone come first. entries must name self, and each entry once.
+// PartOf returns the part of a limit in requests per second that the entry self holds. Entries in
+// the server's zone come first. entries must contain self, and each entry once.
 func PartOf(rate float64, addr, zone, self string, entries []Entry) Part {
-	rate = max(rate, leastRate)
+	rate = max(rate, minRate)
 	holders := len(entries)
-	if most := leastHolders + math.Floor(rate/perHolder); most < float64(holders) {
+	if most := minHolders + math.Floor(rate/perHolder); most < float64(holders) {
 		holders = int(most)
 	}
 	if holders < len(entries) && rank(addr, zone, self, entries) >= holders {
 		others := float64(len(entries) - holders)
 		probe := time.Duration(others / (probeShare * rate) * float64(time.Second))
-		return Part{Probe: max(probe, leastProbe)}
+		return Part{Probe: max(probe, minProbeInterval)}
 	}
 	return Part{Rate: rate / float64(holders)}
 }
 
-// rank is the place of an entry in the order in which entries get parts, from 0.
+// rank is the position, from 0, of an entry in the order in which entries get parts.
 func rank(addr, zone, self string, entries []Entry) int {
 	server := rendezvous.Hash(addr)
 	order := slices.SortedFunc(slices.Values(entries), func(a, b Entry) int {
