--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -17,8 +17,8 @@
 //
 // Nothing leads from unknown to a new grant within the window. Now is a count
 // of milliseconds by the leader's clock. Only the differences between events
-// count, and a leap counts as a minute at most: leaders whose clocks disagree
-// make claims live longer, or shorter by a minute for each change of leader.
+// count, and a difference counts as a minute at most: if the clocks of leaders
+// disagree, claims last longer, or up to a minute less for each change of leader.
 package claims
 
 import "time"
@@ -32,8 +32,8 @@
 // Sub returns the time between an earlier o and m.
 func (m Millis) Sub(o Millis) time.Duration { return time.Duration(m-o) * time.Millisecond }
 
-// Limits bound the table. They are decided by the proposer and written to the
-// log with the event.
+// Limits bound the table. The proposer chooses them and writes them to the log
+// with the event.
 type Limits struct {
 	// Window is how long a completed or unknown claim is remembered.
 	Window time.Duration `json:"window"`
@@ -50,8 +50,8 @@
 	MaxAnswerTotal int `json:"max_answer_total"`
 }
 
-// DefaultLimits fit a control server with a memory budget of 32 MB; see
-// docs/design/requests.md for the bytes per claim they were worked out from.
+// DefaultLimits fit a control server with a memory budget of 32 MB;
+// docs/design/requests.md has the bytes per claim that they are derived from.
 var DefaultLimits = Limits{
 	Window:             15 * time.Minute,
 	MaxTimeout:         5 * time.Minute,
@@ -61,15 +61,15 @@
 	MaxAnswerTotal:     8 << 20,
 }
 
-// Verdict tells an entry what it may do. The values up to BodyMismatch are
-// those of rpc.ClaimVerdict.
+// Verdict is the answer to a claim. The values up to BodyMismatch are those of
+// rpc.ClaimVerdict.
 type Verdict uint8
 
 // The verdicts on a claim.
 const (
 	// Granted allows exactly this attempt to dispatch.
 	Granted Verdict = iota
-	// InProgress means another attempt holds the key.
+	// InProgress means another attempt holds an unsettled grant of the key.
 	InProgress
 	// Completed means the request ran; its answer is attached if it was kept.
 	Completed
@@ -77,11 +77,11 @@
 	Unknown
 	// BodyMismatch means the key was used before with another body.
 	BodyMismatch
-	// Full means the table has no room for a new key; nothing was recorded.
+	// Full means the table has no capacity for a new key; nothing was recorded.
 	Full
 )
 
-// String returns the verdict's name for logs and metric labels.
+// String returns the verdict's name, as in logs and metric labels.
 func (v Verdict) String() string {
 	names := [...]string{"granted", "in_progress", "completed", "unknown", "body_mismatch", "full"}
 	if int(v) < len(names) {
@@ -90,18 +90,18 @@
 	return "invalid"
 }
 
-// Claim is the event that asks for a key.
+// Claim is the event that requests a grant of a key.
 type Claim struct {
 	Organisation string `json:"organisation"`
 	Key          string `json:"key"`
-	// BodyDigest names the request's content: method, path and body.
+	// BodyDigest identifies the request's content: method, path and body.
 	BodyDigest []byte `json:"body_digest"`
 	// Attempt is unique to one arrival of the request at one entry. A claim
 	// that is resent with the same attempt, because its answer was lost, gets
 	// the same grant again. An empty attempt is never granted again.
 	Attempt string `json:"attempt"`
-	// Timeout after which the unsettled grant becomes unknown. The entry must
-	// not dispatch once this time has passed since it sent the claim.
+	// Timeout is the time after which an unsettled grant becomes unknown. The
+	// entry must not dispatch once it has passed since the claim was sent.
 	Timeout time.Duration `json:"timeout"`
 	Now     Millis        `json:"now"`
 	Limits  Limits        `json:"limits"`
@@ -119,15 +119,15 @@
 // ClaimResult answers a Claim.
 type ClaimResult struct {
 	Verdict Verdict
-	// Token names the grant when settling; only with Granted.
+	// Token identifies the grant when it is settled; only set with Granted.
 	Token uint64
 	// Answer is nil with Completed when it was too large to be kept.
 	Answer *Answer
-	// RetryAfter says when asking again makes sense; 0 means never.
+	// RetryAfter is when a client retry makes sense; 0 means never.
 	RetryAfter time.Duration
 }
 
-// Outcome is the recorded end of a granted claim, with the values of
+// Outcome is the outcome of a granted claim, with the values of
 // rpc.SettleOutcome.
 type Outcome uint8
 
@@ -144,23 +144,23 @@
 	Key          string  `json:"key"`
 	Token        uint64  `json:"token"`
 	Outcome      Outcome `json:"outcome"`
-	// Answer goes with SettleCompleted.
+	// Answer is set with SettleCompleted.
 	Answer *Answer `json:"answer,omitempty"`
 	Now    Millis  `json:"now"`
 	Limits Limits  `json:"limits"`
 }
 
-// SettleResult says what became of a Settle.
+// SettleResult is the result of a Settle.
 type SettleResult uint8
 
 // The results of a Settle.
 const (
-	// Recorded means the outcome is now in force.
+	// Recorded means the outcome was recorded.
 	Recorded SettleResult = iota
 	// Repeated means this grant was settled before with the same outcome.
 	Repeated
-	// Ignored means the token is not that of the key's grant, or the grant has
-	// already ended in a way that this outcome must not change.
+	// Ignored means the token is not that of the key's grant, or the grant
+	// already has an outcome that this one must not change.
 	Ignored
 )
 
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -32,7 +32,7 @@
 	return s
 }
 
-func TestLifeOfAKey(t *testing.T) {
+func TestKeyLifecycle(t *testing.T) {
 	tab := NewTable()
 	first := tab.Claim(claim("a", "k", "e1/1", 0))
 	require.Equal(t, ClaimResult{Verdict: Granted, Token: 1}, first)
@@ -73,9 +73,9 @@
 	require.Equal(t, Granted, tab.Claim(claim("a", "k", "e2/4", 2002+10_000)).Verdict, "after the window")
 }
 
-// TestClocksOfLeadersMayDisagree lets leaders with clocks an hour apart take
-// turns: the claims neither die early nor stop ageing.
-func TestClocksOfLeadersMayDisagree(t *testing.T) {
+// TestLeaderClocksMayDisagree alternates leaders with clocks an hour apart:
+// claims neither expire early nor stop ageing.
+func TestLeaderClocksMayDisagree(t *testing.T) {
 	const hour = Millis(3_600_000)
 	first := claim("a", "k", "x", 0)
 	first.Limits.Window = 15 * time.Minute
@@ -114,7 +114,7 @@
 	c.Key = "k9"
 	require.Equal(t, Full, tab.Claim(c).Verdict)
 	c.Organisation, c.Key = "a", "k1"
-	require.Equal(t, Granted, tab.Claim(c).Verdict, "a held key is answered when the table is full")
+	require.Equal(t, Granted, tab.Claim(c).Verdict, "a known key is answered when the table is full")
 
 	require.Equal(t, Recorded, tab.Settle(settle("a", "k1", 2, SettleCompleted, "seventeen letters", 1)))
 	got := tab.Claim(claim("a", "k1", "y", 2))
@@ -128,7 +128,7 @@
 	require.Equal(t, Unknown, tab.Claim(claim("z", "k", "z2", 5002)).Verdict, "the timeout is capped")
 }
 
-func TestAnswersStayWithinTheirTotal(t *testing.T) {
+func TestStoredAnswersStayWithinLimit(t *testing.T) {
 	tab := NewTable()
 	kept := 0
 	for i := range 10 {
@@ -146,7 +146,7 @@
 	require.Empty(t, tab.orgs.ids)
 }
 
-func TestRestoreRejectsDamage(t *testing.T) {
+func TestRestoreRejectsCorruptSnapshot(t *testing.T) {
 	tab := NewTable()
 	r := tab.Claim(claim("a", "k", "x", 0))
 	tab.Settle(settle("a", "k", r.Token, SettleCompleted, "yes", 0))
@@ -183,22 +183,22 @@
 	ran            bool
 }
 
-// world is the model that the table is checked against: callers resend,
-// entries crash, answers get lost, servers restart from snapshots.
-type world struct {
-	table    *Table
-	now      Millis
-	next     int
-	attempts []*attempt        // alive and holding a grant
-	runs     map[string]int    // real runs of a key within the window
-	unknown  map[string]bool   // told unknown
-	live     map[string]uint64 // last token granted and not released
-	replies  map[string]string // answer told to a caller
+// model is what the table is checked against: callers retry, entries crash,
+// answers get lost, servers restart from snapshots.
+type model struct {
+	table       *Table
+	now         Millis
+	next        int
+	attempts    []*attempt        // active, with a grant
+	runs        map[string]int    // real runs of a key within the window
+	unknown     map[string]bool   // reported as unknown
+	outstanding map[string]uint64 // last token granted and not released
+	replies     map[string]string // answer sent to a caller
 }
 
-func (w *world) id(a *attempt) string { return a.org + "|" + a.key }
+func (w *model) id(a *attempt) string { return a.org + "|" + a.key }
 
-func (w *world) claim(t *rapid.T, a *attempt) {
+func (w *model) claim(t *rapid.T, a *attempt) {
 	r := w.table.Claim(claim(a.org, a.key, a.name, w.now))
 	id := w.id(a)
 	switch r.Verdict {
@@ -219,17 +219,17 @@
 }
 
 // granted checks a grant against the earlier ones of the key.
-func (w *world) granted(t *rapid.T, id string, token uint64) {
+func (w *model) granted(t *rapid.T, id string, token uint64) {
 	if w.unknown[id] {
 		t.Fatalf("%s granted after unknown", id)
 	}
-	if held, ok := w.live[id]; ok && held != token {
+	if held, ok := w.outstanding[id]; ok && held != token {
 		t.Fatalf("%s: grants %d and %d outstanding", id, held, token)
 	}
-	w.live[id] = token
+	w.outstanding[id] = token
 }
 
-func (w *world) pick(t *rapid.T) *attempt {
+func (w *model) pick(t *rapid.T) *attempt {
 	if len(w.attempts) == 0 {
 		t.Skip("no attempt holds a grant")
 	}
@@ -237,11 +237,11 @@
 }
 
 // TestModel checks that no request runs twice, whatever is resent, lost or
-// restarted. The window is never left, so that every second run is a fault.
+// restarted. Time stays within the window, so that every second run is a fault.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{table: NewTable(), runs: map[string]int{}, unknown: map[string]bool{},
-			live: map[string]uint64{}, replies: map[string]string{}}
+		w := &model{table: NewTable(), runs: map[string]int{}, unknown: map[string]bool{},
+			outstanding: map[string]uint64{}, replies: map[string]string{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
 				w.next++
@@ -276,13 +276,13 @@
 					outcome = rapid.SampledFrom([]Outcome{SettleCompleted, SettleUnknown}).Draw(t, "outcome")
 				}
 				res := w.table.Settle(settle(a.org, a.key, a.token, outcome, w.replies[id], w.now))
-				if res == Recorded && a.token != w.live[id] {
-					t.Fatalf("%s: settled by token %d, granted to %d", id, a.token, w.live[id])
+				if res == Recorded && a.token != w.outstanding[id] {
+					t.Fatalf("%s: settled by token %d, granted to %d", id, a.token, w.outstanding[id])
 				}
 				if outcome == SettleNotRun {
-					a.started = -1 << 40 // the entry dispatches no more
+					a.started = -1 << 40 // the entry must not dispatch any more
 					if res == Recorded {
-						delete(w.live, id)
+						delete(w.outstanding, id)
 					}
 				}
 			},
--- a/internal/claims/due.go
+++ b/internal/claims/due.go
@@ -1,6 +1,6 @@
 package claims
 
-// dueItem says that a record may have something due.
+// dueItem is a time at which a record may change by itself.
 type dueItem struct {
 	due Millis
 	id  digest
--- a/internal/claims/orgs.go
+++ b/internal/claims/orgs.go
@@ -1,16 +1,16 @@
 package claims
 
-// orgIndex numbers the organisations that hold claims and counts these.
-// Numbers are private to a process; snapshots carry names.
+// orgIndex numbers the organisations that have claims, and counts their claims.
+// Numbers are private to a process; snapshots contain names.
 type orgIndex struct {
-	ids   map[string]uint32
-	names map[uint32]string
-	held  map[uint32]int
-	next  uint32
+	ids    map[string]uint32
+	names  map[uint32]string
+	claims map[uint32]int
+	next   uint32
 }
 
 func newOrgIndex() orgIndex {
-	return orgIndex{ids: map[string]uint32{}, names: map[uint32]string{}, held: map[uint32]int{}}
+	return orgIndex{ids: map[string]uint32{}, names: map[uint32]string{}, claims: map[uint32]int{}}
 }
 
 func (o *orgIndex) id(name string) uint32 {
@@ -23,20 +23,20 @@
 	return o.next
 }
 
-func (o *orgIndex) count(id uint32) int { return o.held[id] }
+func (o *orgIndex) count(id uint32) int { return o.claims[id] }
 
-func (o *orgIndex) add(id uint32) { o.held[id]++ }
+func (o *orgIndex) add(id uint32) { o.claims[id]++ }
 
 func (o *orgIndex) remove(id uint32) {
-	o.held[id]--
+	o.claims[id]--
 	o.dropUnused(id)
 }
 
 func (o *orgIndex) dropUnused(id uint32) {
-	if o.held[id] > 0 {
+	if o.claims[id] > 0 {
 		return
 	}
 	delete(o.ids, o.names[id])
 	delete(o.names, id)
-	delete(o.held, id)
+	delete(o.claims, id)
 }
--- a/internal/claims/snapshot.go
+++ b/internal/claims/snapshot.go
@@ -23,10 +23,10 @@
 	}
 	slices.SortFunc(ids, func(a, b digest) int { return bytes.Compare(a[:], b[:]) })
 
-	buf := make([]byte, 0, 96*len(ids)+t.answers+32)
+	buf := make([]byte, 0, 96*len(ids)+t.answerBytes+32)
 	buf = append(buf, snapshotVersion)
 	buf = binary.AppendVarint(buf, int64(t.now))
-	buf = binary.AppendVarint(buf, int64(t.supplied))
+	buf = binary.AppendVarint(buf, int64(t.lastEvent))
 	buf = binary.AppendUvarint(buf, t.lastToken)
 	buf = binary.AppendUvarint(buf, uint64(len(ids)))
 	for _, id := range ids {
@@ -66,7 +66,7 @@
 	}
 	t := NewTable()
 	t.now = Millis(r.varint())
-	t.supplied = Millis(r.varint())
+	t.lastEvent = Millis(r.varint())
 	t.lastToken = r.uvarint()
 	for n := r.uvarint(); n > 0 && !r.failed; n-- {
 		r.record(t)
@@ -98,15 +98,15 @@
 		rec.answer = &Answer{Status: uint32(r.uvarint()), ContentType: string(r.bytes())}
 		rec.answer.Body = bytes.Clone(r.bytes())
 	}
-	_, doubled := t.records[id]
-	if r.failed || doubled || rec.state > stateReleased {
+	_, duplicate := t.records[id]
+	if r.failed || duplicate || rec.state > stateReleased {
 		r.failed = true
 		return
 	}
 	rec.org = t.orgs.id(org)
 	t.orgs.add(rec.org)
 	if rec.answer != nil {
-		t.answers += rec.answer.size()
+		t.answerBytes += rec.answer.size()
 	}
 	t.put(id, rec)
 }
--- a/internal/claims/table.go
+++ b/internal/claims/table.go
@@ -7,20 +7,20 @@
 	"lukechampine.com/blake3"
 )
 
-// inProgressRetryAfter is how soon a caller may ask again for a key that
-// another attempt holds.
+// inProgressRetryAfter is the delay of a client retry for a key that another
+// attempt holds.
 const inProgressRetryAfter = time.Second
 
-// fullRetryAfter is how soon a caller may ask again when the table is full.
+// fullRetryAfter is the delay of a client retry when the table is full.
 const fullRetryAfter = 10 * time.Second
 
-// maxStep is the most by which one event moves the table's clock. A leader
-// whose clock is far ahead of the last one's thus makes claims at most this
-// much older. Claims that are held are expired by events more often than this.
+// maxStep bounds how far one event advances the table's clock. A leader whose
+// clock is far ahead of its predecessor's thus ages claims by at most this much.
+// While there are claims, expiry events are more frequent than this.
 const maxStep = Millis(60_000)
 
-// digest is a truncated BLAKE3 digest. It stands for a key, a body or an
-// attempt, so that long keys cost no more memory than short ones.
+// digest is a truncated BLAKE3 digest of a key, a body or an attempt, so that
+// long keys cost no more memory than short ones.
 type digest [16]byte
 
 // state of a remembered key.
@@ -30,8 +30,8 @@
 	stateGranted state = iota
 	stateCompleted
 	stateUnknown
-	// stateReleased remembers the attempt of a request that did not run until
-	// its timeout, so that a delayed copy of its claim is not granted.
+	// stateReleased keeps the attempt of a request that did not run until its
+	// timeout, so that a delayed copy of its claim is not granted.
 	stateReleased
 )
 
@@ -53,14 +53,14 @@
 // the goroutine that applies the log.
 type Table struct {
 	// now is the table's clock. It advances by the differences between the
-	// times in the events, supplied is the last of these.
-	now       Millis
-	supplied  Millis
-	lastToken uint64
-	records   map[digest]record
-	orgs      orgIndex
-	answers   int // bytes of stored answers
-	queue     dueQueue
+	// times of events; lastEvent is the time of the last event.
+	now         Millis
+	lastEvent   Millis
+	lastToken   uint64
+	records     map[digest]record
+	orgs        orgIndex
+	answerBytes int
+	queue       dueQueue
 }
 
 // NewTable returns an empty table.
@@ -72,8 +72,8 @@
 func (t *Table) Claim(c Claim) ClaimResult {
 	t.Expire(c.Now)
 	id := keyDigest(c.Organisation, c.Key)
-	rec, held := t.records[id]
-	if !held {
+	rec, known := t.records[id]
+	if !known {
 		return t.grantNew(id, c)
 	}
 	if rec.state == stateReleased {
@@ -88,12 +88,12 @@
 	case stateUnknown:
 		return ClaimResult{Verdict: Unknown}
 	default:
-		return t.heldResult(rec, c)
+		return t.inProgressResult(rec, c)
 	}
 }
 
-// heldResult answers a claim for a key that is granted and unsettled.
-func (t *Table) heldResult(rec record, c Claim) ClaimResult {
+// inProgressResult answers a claim for a key that is granted and unsettled.
+func (t *Table) inProgressResult(rec record, c Claim) ClaimResult {
 	if c.Attempt != "" && rec.attempt == hash([]byte(c.Attempt)) {
 		return ClaimResult{Verdict: Granted, Token: rec.token}
 	}
@@ -140,8 +140,8 @@
 func (t *Table) Settle(s Settle) SettleResult {
 	t.Expire(s.Now)
 	id := keyDigest(s.Organisation, s.Key)
-	rec, held := t.records[id]
-	if !held || rec.token != s.Token {
+	rec, known := t.records[id]
+	if !known || rec.token != s.Token {
 		return Ignored
 	}
 	switch s.Outcome {
@@ -156,8 +156,8 @@
 	}
 }
 
-// settleCompleted also takes a grant that has become unknown meanwhile: the
-// answer is better news than "it may have run".
+// settleCompleted also accepts a grant that has become unknown meanwhile: the
+// answer is more precise than "it may have run".
 func (t *Table) settleCompleted(id digest, rec record, s Settle) SettleResult {
 	switch rec.state {
 	case stateCompleted:
@@ -167,19 +167,19 @@
 	}
 	rec.state = stateCompleted
 	rec.due = t.now.Add(rec.window)
-	if t.keeps(s.Answer, s.Limits) {
+	if t.storable(s.Answer, s.Limits) {
 		rec.answer = s.Answer
-		t.answers += s.Answer.size()
+		t.answerBytes += s.Answer.size()
 	}
 	t.put(id, rec)
 	return Recorded
 }
 
-func (t *Table) keeps(a *Answer, l Limits) bool {
+func (t *Table) storable(a *Answer, l Limits) bool {
 	if a == nil || a.size() > l.MaxAnswerBytes {
 		return false
 	}
-	return t.answers+a.size() <= l.MaxAnswerTotal
+	return t.answerBytes+a.size() <= l.MaxAnswerTotal
 }
 
 // settleNotRun does not touch an unknown claim: callers were told that the
@@ -219,17 +219,17 @@
 // Events that overtook each other in the log are a little out of order and
 // must not count time twice; a larger step back is the clock of a new leader.
 func (t *Table) advance(now Millis) {
-	if now < t.supplied {
-		if t.supplied-now > maxStep {
-			t.supplied = now
+	if now < t.lastEvent {
+		if t.lastEvent-now > maxStep {
+			t.lastEvent = now
 		}
 		return
 	}
-	t.now += min(now-t.supplied, maxStep)
-	t.supplied = now
+	t.now += min(now-t.lastEvent, maxStep)
+	t.lastEvent = now
 }
 
-// Expire advances the clock and carries out what has become due. It returns
+// Expire advances the clock and processes the records that are due. It returns
 // how many grants became unknown.
 func (t *Table) Expire(now Millis) int {
 	t.advance(now)
@@ -239,8 +239,8 @@
 		if !ok {
 			return timedOut
 		}
-		rec, held := t.records[id]
-		if !held || rec.due > t.now {
+		rec, known := t.records[id]
+		if !known || rec.due > t.now {
 			continue // the record has changed since it was queued
 		}
 		if rec.state == stateGranted {
@@ -261,13 +261,13 @@
 	delete(t.records, id)
 	t.orgs.remove(rec.org)
 	if rec.answer != nil {
-		t.answers -= rec.answer.size()
+		t.answerBytes -= rec.answer.size()
 	}
 }
 
 // Stats counts the claims by state.
 func (t *Table) Stats() Stats {
-	s := Stats{Claims: len(t.records), AnswerBytes: t.answers}
+	s := Stats{Claims: len(t.records), AnswerBytes: t.answerBytes}
 	for _, rec := range t.records {
 		switch rec.state {
 		case stateGranted:
@@ -283,8 +283,8 @@
 	return s
 }
 
-// keyDigest names (organisation, key). The length in front keeps two
-// organisations from ever sharing a digest's input.
+// keyDigest returns the digest of (organisation, key). The length prefix keeps
+// the inputs of different organisations distinct.
 func keyDigest(organisation, key string) digest {
 	buf := make([]byte, 0, 8+len(organisation)+len(key))
 	buf = binary.LittleEndian.AppendUint64(buf, uint64(len(organisation)))
