--- a/internal/waiting/allowance_test.go
+++ b/internal/waiting/allowance_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-func TestAllowanceIsWhatUsualRequestsHaveLeft(t *testing.T) {
+func TestAllowanceFollowsMeans(t *testing.T) {
 	a := NewAllowance(400*ms, 30*ms)
 	assert.Equal(t, 165*ms, a.Longest(0.6, 45*ms, 20*ms))
 	for range 1000 {
@@ -19,18 +19,18 @@
 	assert.InDelta(t, float64(0.6*350*ms-30*ms-45*ms), float64(a.Longest(0.6, 45*ms, 20*ms)), float64(ms))
 }
 
-func TestAllowanceIsNeverBelowTheLeast(t *testing.T) {
+func TestAllowanceHasMinimum(t *testing.T) {
 	assert.Equal(t, 20*ms, NewAllowance(100*ms, 300*ms).Longest(0.6, 45*ms, 20*ms))
 }
 
-// TestOneHugePromptMovesTheAllowanceLittle: also if it is the first that is seen.
-func TestOneHugePromptMovesTheAllowanceLittle(t *testing.T) {
+// Also if it is the first prompt.
+func TestHugePromptHardlyChangesAllowance(t *testing.T) {
 	a := NewAllowance(400*ms, 30*ms)
 	a.Asked(400*ms, time.Hour)
 	assert.Greater(t, a.Longest(0.6, 45*ms, 20*ms), 155*ms)
 }
 
-func TestAllowanceFollowsWorkThatChanges(t *testing.T) {
+func TestAllowanceAdaptsToLongerPrompts(t *testing.T) {
 	a := NewAllowance(400*ms, 30*ms)
 	for range 256 {
 		a.Asked(400*ms, 90*ms)
--- a/internal/waiting/deadlines.go
+++ b/internal/waiting/deadlines.go
@@ -6,47 +6,47 @@
 )
 
 const (
-	// sampleSize is how many deadlines are remembered by route, leastSample with how many
-	// of them they are judged by.
-	sampleSize  = 64
-	leastSample = 16
-	// lowPart is the part of the sample that may lie below what counts as usual: a caller
-	// that another entry has refused comes here without its refusal being known.
-	lowPart = 0.05
-	// tolerance is how far below the usual ones a deadline still counts as one of them:
-	// callers take some milliseconds off for the way.
+	// sampleSize is how many deadlines are kept per route, minSample how many are needed to use
+	// them.
+	sampleSize = 64
+	minSample  = 16
+	// lowShare is the share of the sample that may be below the usual deadlines: refusals by
+	// other entries are unknown here, so that some client retries are learned as first attempts.
+	lowShare = 0.05
+	// tolerance is the fraction of the lowest usual deadline down to which a deadline counts as
+	// usual: callers subtract some milliseconds for the network.
 	tolerance = 0.99
-	// unlearnedPart of the route's timeout is what counts as usual until enough deadlines
+	// defaultShare of the route's timeout is the lowest usual deadline until enough deadlines
 	// were seen: callers state the timeout, or a little less.
-	unlearnedPart = 0.97
-	// afterReturn is for how long after the time at which refused callers were told to
-	// come back deadlines are not learned from.
-	afterReturn = 500 * time.Millisecond
+	defaultShare = 0.97
+	// learningPause is how long after the retry time of refused callers deadlines are not
+	// learned.
+	learningPause = 500 * time.Millisecond
 )
 
-// Deadlines tells callers that come back after a refusal from those that ask for the first
-// time. Callers that come back state what is left of their first deadline, over a new
-// connection and under a new id, and mostly to another entry; nothing else tells them
-// apart. What first attempts state is learned, by route, while nobody has been refused:
-// some callers all state the same, others differ by 15%.
+// Deadlines distinguishes client retries after a refusal from first attempts. A client
+// retry states what is left of its first deadline, over a new connection and under a new
+// id, and mostly at another entry; nothing else identifies it. The usual deadlines of first
+// attempts are learned by route while no caller has been refused: on some routes all callers
+// state the same, on others they differ by 15%.
 //
-// It belongs to its caller, like Queue.
+// Like Queue it is not safe for concurrent use.
 type Deadlines struct {
-	routes     map[string]*sample
-	quietUntil time.Time
+	routes      map[string]*sample
+	pausedUntil time.Time
 }
 
-// sample holds the deadlines seen last, and the lowest that counts as usual.
+// sample holds the most recent deadlines, and the lowest that counts as usual.
 type sample struct {
 	seen []time.Duration
 	next int
 	low  time.Duration
 }
 
-// NewDeadlines returns one that has learned nothing.
+// NewDeadlines returns an empty Deadlines.
 func NewDeadlines() *Deadlines { return &Deadlines{routes: map[string]*sample{}} }
 
-// Keep forgets all routes but these.
+// Keep removes all routes but these.
 func (d *Deadlines) Keep(routes []string) {
 	kept := make(map[string]*sample, len(routes))
 	for _, route := range routes {
@@ -57,40 +57,40 @@
 	d.routes = kept
 }
 
-// Refused notes that a caller was refused and told to come back after this time.
+// Refused records that a caller was refused with this time until its retry.
 func (d *Deadlines) Refused(now time.Time, after time.Duration) {
-	if until := now.Add(after + afterReturn); until.After(d.quietUntil) {
-		d.quietUntil = until
+	if until := now.Add(after + learningPause); until.After(d.pausedUntil) {
+		d.pausedUntil = until
 	}
 }
 
-// ComesBack tells whether a caller that states this deadline on a route with this timeout
-// has been refused before, and learns from it if nobody has been refused.
+// ComesBack reports whether a request with this deadline, on a route with this timeout, is a
+// client retry, and learns the deadline if nobody was refused recently.
 func (d *Deadlines) ComesBack(now time.Time, route string, deadline, timeout time.Duration) bool {
 	s := d.routes[route]
 	if s == nil {
 		s = &sample{}
 		d.routes[route] = s
 	}
-	if !now.Before(d.quietUntil) {
-		s.note(deadline)
+	if !now.Before(d.pausedUntil) {
+		s.add(deadline)
 		return false
 	}
-	if len(s.seen) < leastSample {
-		return deadline < time.Duration(unlearnedPart*float64(timeout))
+	if len(s.seen) < minSample {
+		return deadline < time.Duration(defaultShare*float64(timeout))
 	}
 	return deadline < time.Duration(tolerance*float64(s.low))
 }
 
-func (s *sample) note(deadline time.Duration) {
+func (s *sample) add(deadline time.Duration) {
 	if len(s.seen) < sampleSize {
 		s.seen = append(s.seen, deadline)
 	} else {
 		s.seen[s.next] = deadline
 	}
 	s.next = (s.next + 1) % sampleSize
-	if s.next%leastSample == 0 {
+	if s.next%minSample == 0 {
 		sorted := slices.Sorted(slices.Values(s.seen))
-		s.low = sorted[int(lowPart*float64(len(sorted)))]
+		s.low = sorted[int(lowShare*float64(len(sorted)))]
 	}
 }
--- a/internal/waiting/deadlines_test.go
+++ b/internal/waiting/deadlines_test.go
@@ -13,10 +13,9 @@
 	timeout = 6 * time.Second
 )
 
-// TestCallersWhoseDeadlinesDifferAreFirstAttempts: callers that state between 0.85 and 1.0
-// of the timeout at their first attempt; a bound at 0.97 of it took most of them for ones
-// that come back.
-func TestCallersWhoseDeadlinesDifferAreFirstAttempts(t *testing.T) {
+// Callers state between 0.85 and 1.0 of the timeout at their first attempt; a fixed bound at
+// 0.97 of it took most of them for client retries.
+func TestFirstAttemptsWithVaryingDeadlines(t *testing.T) {
 	draw := rand.New(rand.NewPCG(1, 1))
 	first := func() time.Duration {
 		return time.Duration((0.85 + 0.15*draw.Float64()) * float64(timeout))
@@ -26,25 +25,25 @@
 		assert.False(t, d.ComesBack(start, route, first(), timeout))
 	}
 	d.Refused(start, time.Second)
-	taken := 0
+	misjudged := 0
 	for range 1000 {
 		if d.ComesBack(start, route, first(), timeout) {
-			taken++
+			misjudged++
 		}
 	}
-	assert.Less(t, taken, 80, "of 1000 first attempts")
-	back := 0
+	assert.Less(t, misjudged, 80, "of 1000 first attempts")
+	found := 0
 	for range 1000 {
 		if d.ComesBack(start, route, first()-2*time.Second, timeout) {
-			back++
+			found++
 		}
 	}
-	assert.Equal(t, 1000, back, "after 2 s")
+	assert.Equal(t, 1000, found, "after 2 s")
 }
 
-func TestCallersThatAllStateTheTimeoutAreToldApartSooner(t *testing.T) {
+func TestRetriesAreFoundSoonerWhenDeadlinesAreEqual(t *testing.T) {
 	d := NewDeadlines()
-	for range leastSample {
+	for range minSample {
 		d.ComesBack(start, route, timeout-3*time.Millisecond, timeout)
 	}
 	d.Refused(start, time.Second)
@@ -52,21 +51,20 @@
 	assert.True(t, d.ComesBack(start, route, timeout-200*time.Millisecond, timeout))
 }
 
-// TestChangedTimeoutOfARouteChangesNothing: a timeout that operators raise does not make
-// callers late.
-func TestChangedTimeoutOfARouteChangesNothing(t *testing.T) {
+// After operators raise a timeout, callers with the old one must not count as client retries.
+func TestRaisedRouteTimeoutDoesNotMarkRetries(t *testing.T) {
 	d := NewDeadlines()
-	for range leastSample {
+	for range minSample {
 		d.ComesBack(start, route, timeout, timeout)
 	}
 	d.Refused(start, time.Second)
 	assert.False(t, d.ComesBack(start, route, timeout, 2*timeout))
 }
 
-func TestRoutesThatAreGoneAreForgotten(t *testing.T) {
+func TestRemovedRoutesAreForgotten(t *testing.T) {
 	d := NewDeadlines()
 	for _, name := range []string{"kept", "gone"} {
-		for range leastSample {
+		for range minSample {
 			d.ComesBack(start, name, timeout/2, timeout)
 		}
 	}
@@ -76,13 +74,13 @@
 	assert.True(t, d.ComesBack(start, "gone", timeout/2, timeout), "by the route's timeout")
 }
 
-func TestNothingIsLearnedWhileCallersComeBack(t *testing.T) {
+func TestDeadlinesOfRetriesAreNotLearned(t *testing.T) {
 	d := NewDeadlines()
 	d.Refused(start, time.Second)
 	for range sampleSize {
 		assert.True(t, d.ComesBack(start, route, timeout/2, timeout))
 	}
 	assert.False(t, d.ComesBack(start, route, timeout, timeout), "by the route's timeout")
-	later := start.Add(time.Second + afterReturn)
-	assert.False(t, d.ComesBack(later, route, timeout/2, timeout), "nobody was refused lately")
+	later := start.Add(time.Second + learningPause)
+	assert.False(t, d.ComesBack(later, route, timeout/2, timeout), "nobody was refused recently")
 }
--- a/internal/waiting/load_test.go
+++ b/internal/waiting/load_test.go
@@ -10,59 +10,59 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The load that is played: callers ask at random moments, 1.3 times as often as servers
-// bear, and come back once, 0.8 to 2 s after a refusal. A request takes its server for a
-// second on average. A first event is in time if the request gets room within the fifth of
-// the objective for which it may wait.
+// The simulated load: callers send requests at random times, 1.3 times the capacity of the
+// servers, and retry once, 0.8 to 2 s after a refusal. A request occupies a slot for a second on
+// average. A first event is in time if the request gets a slot within the fifth of the objective
+// for which it may wait.
 const (
-	slots       = 64
-	service     = time.Second
-	overload    = 1.3
-	playedFor   = 60 * time.Second
-	objective   = 400 * time.Millisecond
-	leastReturn = 800 * time.Millisecond
-	mostReturn  = 2 * time.Second
+	slots         = 64
+	service       = time.Second
+	overload      = 1.3
+	simulated     = 60 * time.Second
+	objective     = 400 * time.Millisecond
+	minRetryDelay = 800 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
-// played is what callers got: in time, late, or nothing.
-type played struct{ inTime, late, refused int }
+// results count the requests that were served in time, served late, or refused.
+type results struct{ inTime, late, refused int }
 
-func (p played) share(n int) float64 { return float64(n) / float64(p.inTime+p.late+p.refused) }
+func (p results) share(n int) float64 { return float64(n) / float64(p.inTime+p.late+p.refused) }
 
-func (p played) served() float64 { return p.share(p.inTime + p.late) }
+func (p results) served() float64 { return p.share(p.inTime + p.late) }
 
-// event is a moment of the play.
+// event is a scheduled step of the simulation.
 type event struct {
 	at time.Time
 	do func(now time.Time)
 }
 
-// play plays the load with a queue, or sends or refuses at once.
-type play struct {
+// simulation simulates the load with a queue, or with requests that are dispatched or refused at once.
+type simulation struct {
 	draw   *rand.Rand
 	events []event
 	free   int
 	queue  *Queue // nil: none
-	// objectives are those of the kinds that callers ask for, each as often; got is by kind.
+	// objectives are those of the kinds of requests, which are equally frequent; got is by kind.
 	objectives []time.Duration
 	kinds      map[*Request]int
-	got        []played
+	got        []results
 }
 
-// newPlay returns one with a queue, or without.
-func newPlay(seed uint64, q *Queue, objectives ...time.Duration) *play {
-	return &play{
+// newSimulation returns a simulation, without a queue if q is nil.
+func newSimulation(seed uint64, q *Queue, objectives ...time.Duration) *simulation {
+	return &simulation{
 		draw: rand.New(rand.NewPCG(seed, 1)), free: slots, queue: q,
-		objectives: objectives, kinds: map[*Request]int{}, got: make([]played, len(objectives)),
+		objectives: objectives, kinds: map[*Request]int{}, got: make([]results, len(objectives)),
 	}
 }
 
-func (p *play) at(when time.Time, do func(now time.Time)) {
+func (p *simulation) at(when time.Time, do func(now time.Time)) {
 	i, _ := slices.BinarySearchFunc(p.events, when, func(e event, at time.Time) int { return cmp.Or(e.at.Compare(at), -1) })
 	p.events = slices.Insert(p.events, i, event{when, do})
 }
 
-func (p *play) run(end time.Time) []played {
+func (p *simulation) run(end time.Time) []results {
 	for gap := range p.arrivals() {
 		kind := 0
 		if len(p.objectives) > 1 {
@@ -81,8 +81,8 @@
 	return p.got
 }
 
-// arrivals yields the moments of first attempts.
-func (p *play) arrivals() func(yield func(time.Time) bool) {
+// arrivals yields the times of first attempts.
+func (p *simulation) arrivals() func(yield func(time.Time) bool) {
 	return func(yield func(time.Time) bool) {
 		mean := float64(service) / slots / overload
 		for at := start; yield(at); {
@@ -91,10 +91,10 @@
 	}
 }
 
-func (p *play) arrive(now time.Time, kind int, back bool) {
-	r := &Request{CameBack: back, Since: now, By: Until(now, p.objectives[kind], back)}
+func (p *simulation) arrive(now time.Time, kind int, clientRetry bool) {
+	r := &Request{CameBack: clientRetry, Since: now, By: Until(now, p.objectives[kind], clientRetry)}
 	p.kinds[r] = kind
-	mayTake := p.queue == nil || !back || !p.queue.FirstAttempts()
+	mayTake := p.queue == nil || !clientRetry || !p.queue.FirstAttempts()
 	switch {
 	case p.free > 0 && mayTake:
 		p.begin(now, r)
@@ -110,7 +110,7 @@
 	}
 }
 
-func (p *play) begin(now time.Time, r *Request) {
+func (p *simulation) begin(now time.Time, r *Request) {
 	p.free--
 	if r.CameBack {
 		p.got[p.kinds[r]].late++
@@ -120,7 +120,7 @@
 	p.at(now.Add(time.Duration(p.draw.ExpFloat64()*float64(service))), p.end)
 }
 
-func (p *play) end(now time.Time) {
+func (p *simulation) end(now time.Time) {
 	p.free++
 	if p.queue == nil {
 		return
@@ -134,41 +134,38 @@
 	}
 }
 
-func (p *play) refuse(now time.Time, r *Request) {
+func (p *simulation) refuse(now time.Time, r *Request) {
 	kind := p.kinds[r]
 	if r.CameBack {
 		p.got[kind].refused++
 		return
 	}
-	after := leastReturn + time.Duration(p.draw.Float64()*float64(mostReturn-leastReturn))
+	after := minRetryDelay + time.Duration(p.draw.Float64()*float64(maxRetryDelay-minRetryDelay))
 	p.at(now.Add(after), func(now time.Time) { p.arrive(now, kind, true) })
 }
 
-// TestUnderOverloadRoomGoesToCallersThatAreStillInTime compares what callers get with the
-// queue and with requests that are sent or refused at once.
-func TestUnderOverloadRoomGoesToCallersThatAreStillInTime(t *testing.T) {
+// The simulation with the queue is compared with requests that are dispatched or refused at once.
+func TestOverloadFreeSlotsGoToFirstAttempts(t *testing.T) {
 	for seed := range uint64(5) {
-		without := newPlay(seed, nil, objective).run(start.Add(playedFor))[0]
-		with := newPlay(seed, New(), objective).run(start.Add(playedFor))[0]
+		without := newSimulation(seed, nil, objective).run(start.Add(simulated))[0]
+		with := newSimulation(seed, New(), objective).run(start.Add(simulated))[0]
 		t.Logf("seed %d: in time %.3f with the queue, %.3f without; late %.3f, %.3f", seed,
 			with.share(with.inTime), without.share(without.inTime), with.share(with.late), without.share(without.late))
 		assert.Greater(t, with.share(with.inTime), 0.65)
 		assert.Greater(t, with.share(with.inTime), without.share(without.inTime)+0.1)
-		assert.Greater(t, with.share(with.inTime+with.late), without.share(without.inTime+without.late)-0.02, "no room is left unused")
+		assert.Greater(t, with.share(with.inTime+with.late), without.share(without.inTime+without.late)-0.02, "no slot is left unused")
 	}
 }
 
-// TestKindsWithAShortObjectiveAreNotPutBehind: what callers saw was that a kind with an objective of
-// three quarters of the others' was refused more often at the same service, under a load that lasts. Cause:
-// of those that wait the one with most time left came first, which is always one of the longer
-// objective, however late it came; the kind with the shorter one got what others left. It waits for a
-// shorter time, too, which is as it must be: its callers are to know early.
-func TestKindsWithAShortObjectiveAreNotPutBehind(t *testing.T) {
+// Regression: under lasting overload, requests with an objective of three quarters of the others' were
+// refused more often, since the queue was ordered by the time left. They still wait for a shorter time:
+// their callers must learn of a refusal early.
+func TestShortObjectiveIsNotRefusedMoreOften(t *testing.T) {
 	for seed := range uint64(5) {
-		got := newPlay(seed, New(), objective, 3*objective/4).run(start.Add(playedFor))
+		got := newSimulation(seed, New(), objective, 3*objective/4).run(start.Add(simulated))
 		long, short := got[0], got[1]
 		t.Logf("seed %d: in time %.3f and %.3f with the shorter one, served %.3f and %.3f", seed,
 			long.share(long.inTime), short.share(short.inTime), long.served(), short.served())
-		assert.Less(t, long.served()-short.served(), 0.05, "the users' aim: five in a hundred")
+		assert.Less(t, long.served()-short.served(), 0.05, "the users' target: five in a hundred")
 	}
 }
--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -1,14 +1,13 @@
-// Package waiting decides which requests may wait at an entry for room at a backend
-// server, for how long, and which of them gets the next room.
+// Package waiting decides which requests may wait at an entry for a slot at a backend
+// server, for how long, and which of them gets the next free slot.
 //
-// The load that it answers: more requests than the backend servers bear, for seconds, as
-// in a burst, while engines load new weights, or after a loss of servers. Without it a
-// request is sent or refused at the moment at which it comes: room that becomes free a
-// moment later goes to whoever comes next, and that is often a caller who comes back late
-// after a refusal. TestUnderOverloadRoomGoesToCallersThatAreStillInTime compares both.
+// It serves an overload of some seconds, as in a burst, while engines load new weights, or
+// after a loss of servers. Without a queue a request is dispatched or refused on arrival: a
+// slot that becomes free a moment later goes to whichever request arrives next, and that is
+// often a late client retry. TestOverloadFreeSlotsGoToFirstAttempts compares both.
 //
-// State: the requests that wait. Messages: none; time is an argument, and a Queue belongs
-// to its caller.
+// State: the waiting requests. Messages: none; time is an argument, and a Queue is not safe
+// for concurrent use.
 package waiting
 
 import (
@@ -18,41 +17,41 @@
 )
 
 const (
-	// firstPart is the part of its objective for which a first attempt may wait. A caller
-	// that is refused by then knows it early enough to turn elsewhere; and what is left of
-	// the objective must do for the prompt, a pass of the engine and what the prediction
-	// does not know, which take half of it. A fifth leaves time for the refusal to reach
-	// its caller within a quarter.
-	firstPart = 0.2
-	// comebackPart is the same for a caller that comes back after a refusal: it is late
-	// already, and its next refusal is its last.
-	comebackPart = 0.5
+	// firstAttemptShare is the share of its objective for which a first attempt may wait. A
+	// caller that is refused by then has time to retry elsewhere; and what is left of the
+	// objective must suffice for the prompt, a pass of the engine and the error of the
+	// prediction, which take half of it. A fifth leaves time for the refusal to reach its
+	// caller within a quarter.
+	firstAttemptShare = 0.2
+	// clientRetryShare is the same for a client retry after a refusal: it is late already, and
+	// the next refusal is its last.
+	clientRetryShare = 0.5
 )
 
-// Request is one that waits.
+// Request is a waiting request.
 type Request struct {
-	// Organisation whose request it is, empty where there are none.
+	// Organisation of the request, empty on routes without organisations.
 	Organisation string
-	// CameBack: its caller was refused before, so that it is late whatever happens.
+	// CameBack: it is a client retry, and late in any case.
 	CameBack bool
 	// Since is when it began to wait, By when it is refused.
 	Since, By time.Time
 }
 
-// Until returns when the wait of a request ends that came at this time and whose first
+// Until returns until when a request may wait that arrived at this time and whose first
 // event is due within objective.
-func Until(came time.Time, objective time.Duration, cameBack bool) time.Time {
-	part := firstPart
-	if cameBack {
-		part = comebackPart
+func Until(arrived time.Time, objective time.Duration, clientRetry bool) time.Time {
+	share := firstAttemptShare
+	if clientRetry {
+		share = clientRetryShare
 	}
-	return came.Add(time.Duration(part * float64(objective)))
+	return arrived.Add(time.Duration(share * float64(objective)))
 }
 
-// Queue holds the requests that wait for servers of one service.
+// Queue is the wait queue of the servers of one service.
 type Queue struct {
 	waiting []*Request
-	// granted is, by organisation, the number of the grant that it got last.
+	// granted is, by organisation, the number of its last grant.
 	granted map[string]uint64
 	grants  uint64
 }
@@ -60,10 +59,10 @@
 // New returns an empty queue.
 func New() *Queue { return &Queue{granted: map[string]uint64{}} }
 
-// Add makes a request wait.
+// Add adds a request.
 func (q *Queue) Add(r *Request) { q.waiting = append(q.waiting, r) }
 
-// Remove takes a request out, and tells whether it still waited.
+// Remove removes a request, and reports whether it was waiting.
 func (q *Queue) Remove(r *Request) bool {
 	i := slices.Index(q.waiting, r)
 	if i < 0 {
@@ -73,7 +72,7 @@
 	return true
 }
 
-// Granted takes a request out that has got room.
+// Granted removes a request that got a slot.
 func (q *Queue) Granted(r *Request) {
 	if !q.Remove(r) {
 		return
@@ -82,19 +81,19 @@
 	q.granted[r.Organisation] = q.grants
 }
 
-// Len returns how many requests wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// FirstAttempts tells whether any request waits whose caller is not late yet.
+// FirstAttempts reports whether any first attempt is waiting.
 func (q *Queue) FirstAttempts() bool {
 	return slices.ContainsFunc(q.waiting, func(r *Request) bool { return !r.CameBack })
 }
 
-// InOrder returns the requests that wait at this time, the one that is to get the next
-// room first: first attempts before callers that are late already; then the organisation
-// that got room longest ago, so that one with many requests doesn't push others out; then
-// the one that came last, which is the likeliest to be in time. Ordered by the time that is left,
-// those with a short objective would always stand behind the others.
+// InOrder returns the requests that may still wait at this time, the one to get the next
+// slot first: first attempts before client retries; then the organisation whose last grant is
+// oldest, so that one with many requests does not starve others; then the newest request,
+// which is the likeliest to be in time. Ordered by the time left, requests with a short
+// objective would always come after the others.
 func (q *Queue) InOrder(now time.Time) []*Request {
 	order := make([]*Request, 0, len(q.waiting))
 	for _, r := range q.waiting {
--- a/internal/waiting/waiting_test.go
+++ b/internal/waiting/waiting_test.go
@@ -9,11 +9,11 @@
 
 var start = time.Unix(1000, 0)
 
-func request(organisation string, by time.Duration, cameBack bool) *Request {
-	return &Request{Organisation: organisation, CameBack: cameBack, Since: start, By: start.Add(by)}
+func request(organisation string, by time.Duration, clientRetry bool) *Request {
+	return &Request{Organisation: organisation, CameBack: clientRetry, Since: start, By: start.Add(by)}
 }
 
-func TestFirstAttemptsComeBeforeCallersThatAreLate(t *testing.T) {
+func TestFirstAttemptsPrecedeClientRetries(t *testing.T) {
 	q := New()
 	late, first := request("a", time.Second, true), request("b", time.Millisecond, false)
 	q.Add(late)
@@ -23,21 +23,21 @@
 	assert.Equal(t, []*Request{first, late}, q.InOrder(start))
 }
 
-func TestNewestComesFirst(t *testing.T) {
+func TestNewestRequestIsFirst(t *testing.T) {
 	q := New()
 	ask := func(since, wait time.Duration) *Request {
 		r := &Request{Organisation: "a", Since: start.Add(since), By: start.Add(since + wait)}
 		q.Add(r)
 		return r
 	}
-	// Of the same wait the newest has most time left; one that may wait longer is no better for that.
+	// Of equal waits the newest request has most time left; a longer allowed wait gives no precedence.
 	oldest, long, short := ask(0, 20*time.Millisecond), ask(5*time.Millisecond, 60*time.Millisecond), ask(8*time.Millisecond, 20*time.Millisecond)
 	assert.Equal(t, []*Request{short, long, oldest}, q.InOrder(start.Add(9*time.Millisecond)))
-	assert.Equal(t, []*Request{short, long}, q.InOrder(start.Add(20*time.Millisecond)), "the oldest one's time is over")
-	assert.Equal(t, 3, q.Len(), "it is told so by its own timer")
+	assert.Equal(t, []*Request{short, long}, q.InOrder(start.Add(20*time.Millisecond)), "the oldest request has timed out")
+	assert.Equal(t, 3, q.Len(), "its own timer removes it")
 }
 
-func TestOrganisationWithManyRequestsDoesNotPushOthersOut(t *testing.T) {
+func TestOrganisationsTakeTurns(t *testing.T) {
 	q := New()
 	for range 50 {
 		q.Add(request("large", time.Minute, false))
@@ -51,7 +51,7 @@
 		q.Granted(r)
 	}
 	assert.Equal(t, map[string]int{"large": 1, "small": 1}, got)
-	assert.False(t, q.Remove(small), "it has got room")
+	assert.False(t, q.Remove(small), "it has got a slot")
 	assert.Equal(t, 49, q.Len())
 }
 
