--- a/internal/standstill/standstill.go
+++ b/internal/standstill/standstill.go
@@ -1,6 +1,6 @@
-// Package standstill lets tests that judge by the clock judge the product only, not a
-// machine on which the test's process did not run: such a scenario measures its own
-// standstill, and one that failed beside a standstill is played again. No daemon imports it.
+// Package standstill runs timing-dependent test scenarios on machines that may not schedule
+// the test process in time. It measures for how long the process stalled during a scenario,
+// and repeats a scenario that failed while the process stalled. No daemon imports it.
 package standstill
 
 import (
@@ -13,49 +13,50 @@
 )
 
 const (
-	// tick is how often it is looked whether the process runs; least is the lateness above
-	// which it did not: scenarios allow for less.
-	tick  = 20 * time.Millisecond
-	least = 100 * time.Millisecond
-	// most plays of a scenario; if the process stood still in all of them, nothing is known
-	// of the product, and the test fails.
-	most = 5
+	// A gap between two samples that exceeds stallThreshold counts as a stall; scenarios must
+	// tolerate shorter ones.
+	sampleInterval = 20 * time.Millisecond
+	stallThreshold = 100 * time.Millisecond
+	// maxRuns limits the runs of a scenario. If it failed in all of them while the process
+	// stalled, the test fails, since it has shown nothing about the code under test.
+	maxRuns = 5
 )
 
-// Judge plays a scenario. A failure counts at once if the process ran all the while; else
-// the scenario is played again.
+// Judge runs a scenario. If it fails, t fails at once unless the process stalled during the
+// run; in that case the scenario runs again, up to maxRuns times in all.
 func Judge(t *testing.T, scenario func(t testing.TB)) {
 	t.Helper()
-	judge(t, func() stopwatch { return start() }, scenario)
+	runScenario(t, func() stallMeter { return startMonitor() }, scenario)
 }
 
-// stopwatch tells for how long the process stood still since it was made.
-type stopwatch interface{ stop() time.Duration }
+// stallMeter measures how long the process has stalled since the meter was created.
+type stallMeter interface{ stop() time.Duration }
 
-// judge is Judge for any test and stopwatch.
-func judge(t testing.TB, newWatch func() stopwatch, scenario func(t testing.TB)) {
+// runScenario implements Judge for any test and stall meter.
+func runScenario(t testing.TB, newMeter func() stallMeter, scenario func(t testing.TB)) {
 	t.Helper()
-	for range most {
-		p := play(t, newWatch(), scenario)
-		if !p.Failed() {
+	for range maxRuns {
+		r := runOnce(t, newMeter(), scenario)
+		if !r.Failed() {
 			return
 		}
-		if p.stood == 0 {
-			for _, message := range p.messages {
+		if r.stalled == 0 {
+			for _, message := range r.messages {
 				t.Error(message)
 			}
 			t.FailNow()
 		}
-		t.Logf("the process stood still for %v in a scenario that failed; it is played again: %v", p.stood, p.messages)
+		t.Logf("scenario failed while the process stalled for %v; running it again: %v", r.stalled, r.messages)
 	}
-	t.Fatalf("the process stood still in each of %d plays", most)
+	t.Fatalf("scenario failed in each of %d runs while the process stalled", maxRuns)
 }
 
-// attempt is one play of a scenario: a test whose failures are kept.
-type attempt struct {
+// scenarioRun is the testing.TB of one run of a scenario. It records failures instead of
+// reporting them.
+type scenarioRun struct {
 	testing.TB
-	ctx   context.Context
-	stood time.Duration
+	ctx     context.Context
+	stalled time.Duration
 
 	mu       sync.Mutex
 	messages []string
@@ -63,115 +64,115 @@
 	cleanups []func()
 }
 
-func play(t testing.TB, clock stopwatch, scenario func(t testing.TB)) *attempt {
+func runOnce(t testing.TB, meter stallMeter, scenario func(t testing.TB)) *scenarioRun {
 	ctx, cancel := context.WithCancel(t.Context())
-	a := &attempt{TB: t, ctx: ctx}
+	r := &scenarioRun{TB: t, ctx: ctx}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		defer a.runCleanups()
+		defer r.runCleanups()
 		defer cancel()
-		scenario(a)
+		scenario(r)
 	}()
 	<-done
-	a.stood = clock.stop()
-	return a
+	r.stalled = meter.stop()
+	return r
 }
 
-func (a *attempt) runCleanups() {
-	for len(a.cleanups) > 0 {
-		last := a.cleanups[len(a.cleanups)-1]
-		a.cleanups = a.cleanups[:len(a.cleanups)-1]
+func (r *scenarioRun) runCleanups() {
+	for len(r.cleanups) > 0 {
+		last := r.cleanups[len(r.cleanups)-1]
+		r.cleanups = r.cleanups[:len(r.cleanups)-1]
 		last()
 	}
 }
 
-// Context ends before the cleanups.
-func (a *attempt) Context() context.Context { return a.ctx }
+// Context returns a context that is cancelled before the cleanup functions run.
+func (r *scenarioRun) Context() context.Context { return r.ctx }
 
-// Cleanup runs f when this play has ended.
-func (a *attempt) Cleanup(f func()) { a.cleanups = append(a.cleanups, f) }
+// Cleanup registers f to be called at the end of this run.
+func (r *scenarioRun) Cleanup(f func()) { r.cleanups = append(r.cleanups, f) }
 
-// Fail marks this play as failed.
-func (a *attempt) Fail() { a.note("") }
+// Fail marks this run as failed.
+func (r *scenarioRun) Fail() { r.record("") }
 
-// Failed tells whether this play has failed.
-func (a *attempt) Failed() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.failed
+// Failed reports whether this run has failed.
+func (r *scenarioRun) Failed() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.failed
 }
 
-// FailNow ends this play.
-func (a *attempt) FailNow() {
-	a.Fail()
+// FailNow marks this run as failed and ends it.
+func (r *scenarioRun) FailNow() {
+	r.Fail()
 	runtime.Goexit()
 }
 
-// Error marks this play as failed.
-func (a *attempt) Error(args ...any) { a.note(fmt.Sprint(args...)) }
+// Error records a message and marks this run as failed.
+func (r *scenarioRun) Error(args ...any) { r.record(fmt.Sprint(args...)) }
 
-// Errorf marks this play as failed.
-func (a *attempt) Errorf(format string, args ...any) { a.note(fmt.Sprintf(format, args...)) }
+// Errorf records a formatted message and marks this run as failed.
+func (r *scenarioRun) Errorf(format string, args ...any) { r.record(fmt.Sprintf(format, args...)) }
 
-// Fatal ends this play.
-func (a *attempt) Fatal(args ...any) {
-	a.Error(args...)
+// Fatal is Error followed by FailNow.
+func (r *scenarioRun) Fatal(args ...any) {
+	r.Error(args...)
 	runtime.Goexit()
 }
 
-// Fatalf ends this play.
-func (a *attempt) Fatalf(format string, args ...any) {
-	a.Errorf(format, args...)
+// Fatalf is Errorf followed by FailNow.
+func (r *scenarioRun) Fatalf(format string, args ...any) {
+	r.Errorf(format, args...)
 	runtime.Goexit()
 }
 
-func (a *attempt) note(message string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.failed = true
+func (r *scenarioRun) record(message string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.failed = true
 	if message != "" {
-		a.messages = append(a.messages, message)
+		r.messages = append(r.messages, message)
 	}
 }
 
-// watch measures for how long the process stands still.
-type watch struct {
-	quit  chan struct{}
-	ended chan struct{}
-	seen  time.Time
-	stood time.Duration
+// stallMonitor is a stallMeter that samples the clock every sampleInterval.
+type stallMonitor struct {
+	quit       chan struct{}
+	done       chan struct{}
+	lastSample time.Time
+	stalled    time.Duration
 }
 
-func start() *watch {
-	w := &watch{quit: make(chan struct{}), ended: make(chan struct{}), seen: time.Now()}
+func startMonitor() *stallMonitor {
+	m := &stallMonitor{quit: make(chan struct{}), done: make(chan struct{}), lastSample: time.Now()}
 	go func() {
-		defer close(w.ended)
-		ticker := time.NewTicker(tick)
+		defer close(m.done)
+		ticker := time.NewTicker(sampleInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ticker.C:
-				w.note(time.Now())
-			case <-w.quit:
-				w.note(time.Now())
+				m.sample(time.Now())
+			case <-m.quit:
+				m.sample(time.Now())
 				return
 			}
 		}
 	}()
-	return w
+	return m
 }
 
-func (w *watch) note(now time.Time) {
-	if gap := now.Sub(w.seen); gap > least {
-		w.stood += gap
+func (m *stallMonitor) sample(now time.Time) {
+	if gap := now.Sub(m.lastSample); gap > stallThreshold {
+		m.stalled += gap
 	}
-	w.seen = now
+	m.lastSample = now
 }
 
-// stop returns for how long the process stood still since start.
-func (w *watch) stop() time.Duration {
-	close(w.quit)
-	<-w.ended
-	return w.stood
+// stop ends the sampling and returns the total stall time since startMonitor.
+func (m *stallMonitor) stop() time.Duration {
+	close(m.quit)
+	<-m.done
+	return m.stalled
 }
--- a/internal/standstill/standstill_test.go
+++ b/internal/standstill/standstill_test.go
@@ -9,74 +9,74 @@
 	"github.com/stretchr/testify/require"
 )
 
-// outer stands for the test that judges.
-type outer struct {
+// parentTest is the testing.TB that a scenario is run for.
+type parentTest struct {
 	testing.TB
 	failed bool
 }
 
-func (o *outer) Error(...any)          { o.failed = true }
-func (o *outer) Logf(string, ...any)   {}
-func (o *outer) Fatalf(string, ...any) { o.failed = true; runtime.Goexit() }
-func (o *outer) FailNow()              { o.failed = true; runtime.Goexit() }
+func (p *parentTest) Error(...any)          { p.failed = true }
+func (p *parentTest) Logf(string, ...any)   {}
+func (p *parentTest) Fatalf(string, ...any) { p.failed = true; runtime.Goexit() }
+func (p *parentTest) FailNow()              { p.failed = true; runtime.Goexit() }
 
-// standstills are how long the process stands still in one play after the other.
-type standstills []time.Duration
+// fakeMeter returns the listed stall times, one per run.
+type fakeMeter []time.Duration
 
-func (s *standstills) stop() time.Duration {
-	first := (*s)[0]
-	*s = (*s)[1:]
+func (m *fakeMeter) stop() time.Duration {
+	first := (*m)[0]
+	*m = (*m)[1:]
 	return first
 }
 
-func judged(t *testing.T, stood standstills, scenario func(t testing.TB)) bool {
-	o := &outer{TB: t}
+func passes(t *testing.T, stalls fakeMeter, scenario func(t testing.TB)) bool {
+	p := &parentTest{TB: t}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		judge(o, func() stopwatch { return &stood }, scenario)
+		runScenario(p, func() stallMeter { return &stalls }, scenario)
 	}()
 	<-done
-	return !o.failed
+	return !p.failed
 }
 
-func TestFailureCountsAtOnce(t *testing.T) {
+func TestFailureWithoutStallFailsAtOnce(t *testing.T) {
 	for name, fail := range map[string]func(t testing.TB){
 		"assert":  func(t testing.TB) { assert.Fail(t, "wrong") },
 		"require": func(t testing.TB) { require.Fail(t, "wrong") },
 		"fatal":   func(t testing.TB) { t.Fatal("wrong") },
 	} {
-		plays, cleaned := 0, 0
-		assert.False(t, judged(t, standstills{0}, func(t testing.TB) {
-			plays++
+		runs, cleaned := 0, 0
+		assert.False(t, passes(t, fakeMeter{0}, func(t testing.TB) {
+			runs++
 			t.Cleanup(func() { cleaned++ })
 			fail(t)
 		}), name)
-		assert.Equal(t, 1, plays, name)
+		assert.Equal(t, 1, runs, name)
 		assert.Equal(t, 1, cleaned, name)
 	}
 }
 
-func TestFailureBesideAStandstillIsPlayedAgain(t *testing.T) {
-	plays := 0
+func TestFailureDuringStallRunsAgain(t *testing.T) {
+	runs := 0
 	failsFirst := func(t testing.TB) {
-		plays++
-		require.Greater(t, plays, 1)
+		runs++
+		require.Greater(t, runs, 1)
 	}
-	assert.True(t, judged(t, standstills{time.Second, 0}, failsFirst))
-	assert.Equal(t, 2, plays)
+	assert.True(t, passes(t, fakeMeter{time.Second, 0}, failsFirst))
+	assert.Equal(t, 2, runs)
 	fails := func(t testing.TB) { t.Fatal("wrong") }
-	assert.False(t, judged(t, standstills{time.Second, 0}, fails), "it fails without a standstill, too")
-	always := standstills{1, 1, 1, 1, 1}
-	assert.False(t, judged(t, always, fails), "nothing is known of the product")
+	assert.False(t, passes(t, fakeMeter{time.Second, 0}, fails), "the second run fails without a stall")
+	always := fakeMeter{1, 1, 1, 1, 1}
+	assert.False(t, passes(t, always, fails), "the process stalled in every run")
 }
 
-func TestWatchSumsUpStandstills(t *testing.T) {
+func TestMonitorSumsStallTimes(t *testing.T) {
 	at := time.Unix(1000, 0)
-	w := &watch{seen: at}
-	for _, gap := range []time.Duration{tick, least, 3 * time.Second, tick, time.Second} {
+	m := &stallMonitor{lastSample: at}
+	for _, gap := range []time.Duration{sampleInterval, stallThreshold, 3 * time.Second, sampleInterval, time.Second} {
 		at = at.Add(gap)
-		w.note(at)
+		m.sample(at)
 	}
-	assert.Equal(t, 4*time.Second, w.stood)
+	assert.Equal(t, 4*time.Second, m.stalled)
 }
