--- a/internal/raftlog/codec.go
+++ b/internal/raftlog/codec.go
@@ -5,8 +5,8 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// EntriesToProto and the functions below convert between the types of the
-// core and their encoded form, on disk and between servers.
+// EntriesToProto returns the encoded form of entries, as used on disk and
+// between servers.
 func EntriesToProto(entries []consensus.Entry) []*rpc.RaftEntry {
 	out := make([]*rpc.RaftEntry, len(entries))
 	for i, e := range entries {
@@ -39,7 +39,7 @@
 	}
 }
 
-// ServerIDToProto returns the encoded form of an identity.
+// ServerIDToProto returns the encoded form of a server ID.
 func ServerIDToProto(id consensus.ServerID) *rpc.RaftServerID {
 	return &rpc.RaftServerID{Name: id.Name, Incarnation: id.Incarnation}
 }
--- a/internal/raftlog/file.go
+++ b/internal/raftlog/file.go
@@ -13,7 +13,8 @@
 	"lynxgate.dev/lynxgate/internal/durable"
 )
 
-// A whole file is a payload after a header of 8 bytes: magic, CRC-32C.
+// A file other than a segment has a header of 8 bytes (magic, CRC-32C of the
+// payload) and a payload.
 const (
 	fileMagic      = 0x6c786632 // "lxf2"
 	fileHeaderSize = 8
@@ -21,7 +22,7 @@
 	fileMode = 0o600
 )
 
-// writeFile replaces a file durably: aside, sync, rename, sync of the folder.
+// writeFile replaces a file atomically and durably.
 func writeFile(path string, message proto.Message) error {
 	payload, err := proto.Marshal(message)
 	if err != nil {
@@ -35,7 +36,8 @@
 	return durable.ReplaceFile(path, data, fileMode)
 }
 
-// readFile reads a file written with writeFile; false if there is none.
+// readFile reads a file written with writeFile. It returns false if the file
+// does not exist.
 func readFile(path string, message proto.Message) (bool, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/raftlog/frame.go
+++ b/internal/raftlog/frame.go
@@ -13,28 +13,27 @@
 //
 //	magic, payload length, CRC-32C of the payload, CRC-32C of the header
 //
-// each of 4 bytes, little endian. The checksum of the header covers segment
-// number and offset as well, so that a frame found in another place is never
-// taken for a good one.
+// each of 4 bytes, little endian. The header checksum also covers the segment
+// number and the offset, so that a frame at any other position is invalid.
 const (
 	frameMagic      = 0x6c786731 // "lxg1"
 	frameHeaderSize = 16
 	maxPayload      = 1 << 30
-	// sectorSize is the unit in which an interrupted write leaves zeros.
+	// sectorSize is the unit in which a torn write leaves zeros.
 	sectorSize = 512
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// headerChecksum covers the first 12 bytes of a header and its place.
+// headerChecksum covers the first 12 bytes of a header and its position.
 func headerChecksum(segment uint64, offset int64, header []byte) uint32 {
-	var place [16]byte
-	binary.LittleEndian.PutUint64(place[0:], segment)
-	binary.LittleEndian.PutUint64(place[8:], uint64(offset))
-	return crc32.Update(crc32.Checksum(place[:], crcTable), crcTable, header[:frameHeaderSize-4])
+	var position [16]byte
+	binary.LittleEndian.PutUint64(position[0:], segment)
+	binary.LittleEndian.PutUint64(position[8:], uint64(offset))
+	return crc32.Update(crc32.Checksum(position[:], crcTable), crcTable, header[:frameHeaderSize-4])
 }
 
-// encodeFrame appends the frame of a record at this place to buf.
+// encodeFrame appends to buf the frame of a record for this position.
 func encodeFrame(buf []byte, segment uint64, offset int64, record *rpc.RaftRecord) ([]byte, error) {
 	start := len(buf)
 	buf = append(buf, make([]byte, frameHeaderSize)...)
@@ -50,20 +49,20 @@
 	return buf, nil
 }
 
-// decodeHeader returns the payload length of the frame at offset; false if
-// the header is not good.
+// decodeHeader returns the payload length of the frame at offset, or false if
+// the header is invalid.
 func decodeHeader(data []byte, segment uint64, offset int64) (uint32, bool) {
 	rest := data[offset:]
 	if len(rest) < frameHeaderSize || binary.LittleEndian.Uint32(rest) != frameMagic {
 		return 0, false
 	}
 	size := binary.LittleEndian.Uint32(rest[4:])
-	good := binary.LittleEndian.Uint32(rest[12:]) == headerChecksum(segment, offset, rest)
-	return size, good && size <= maxPayload
+	valid := binary.LittleEndian.Uint32(rest[12:]) == headerChecksum(segment, offset, rest)
+	return size, valid && size <= maxPayload
 }
 
-// decodeFrame reads the frame at offset. It returns the record and the size
-// of the frame; false if there is no good frame.
+// decodeFrame returns the record and the size of the frame at offset, or false
+// if there is no valid frame.
 func decodeFrame(data []byte, segment uint64, offset int64) (*rpc.RaftRecord, int, bool) {
 	size, ok := decodeHeader(data, segment, offset)
 	rest := data[offset:]
@@ -81,9 +80,9 @@
 	return record, frameHeaderSize + int(size), true
 }
 
-// interrupted tells whether the bad tail from offset on looks like a write
-// that did not end: it stops short, or has a sector of nothing but zeros.
-func interrupted(data []byte, segment uint64, offset int64) bool {
+// isTornWrite reports whether the invalid tail at offset looks like an
+// incomplete write: it is shorter than its frame or has a sector of zeros.
+func isTornWrite(data []byte, segment uint64, offset int64) bool {
 	rest := data[offset:]
 	if len(rest) < frameHeaderSize {
 		return true
@@ -109,28 +108,28 @@
 	return true
 }
 
-// scan is the outcome of reading one segment.
-type scan struct {
+// scanResult is the result of reading one segment.
+type scanResult struct {
 	records []*rpc.RaftRecord
-	// good is the length of the readable part.
-	good int64
-	// laterFrame is the offset of a good frame after a bad one, or -1.
+	// validSize is the total length of the frames before the first invalid one.
+	validSize int64
+	// laterFrame is the offset of a valid frame after an invalid one, or -1.
 	laterFrame int64
 }
 
-// scanSegment reads frames up to the first bad one, and looks for a good one
-// after that.
-func scanSegment(data []byte, segment uint64) scan {
-	s := scan{laterFrame: -1}
-	for s.good < int64(len(data)) {
-		record, size, ok := decodeFrame(data, segment, s.good)
+// scanSegment reads frames up to the first invalid one, and searches for a
+// valid one after it.
+func scanSegment(data []byte, segment uint64) scanResult {
+	s := scanResult{laterFrame: -1}
+	for s.validSize < int64(len(data)) {
+		record, size, ok := decodeFrame(data, segment, s.validSize)
 		if !ok {
 			break
 		}
 		s.records = append(s.records, record)
-		s.good += int64(size)
+		s.validSize += int64(size)
 	}
-	for offset := s.good + 1; offset+frameHeaderSize <= int64(len(data)); offset++ {
+	for offset := s.validSize + 1; offset+frameHeaderSize <= int64(len(data)); offset++ {
 		if _, _, ok := decodeFrame(data, segment, offset); ok {
 			s.laterFrame = offset
 			break
--- a/internal/raftlog/replay.go
+++ b/internal/raftlog/replay.go
@@ -45,8 +45,9 @@
 	return nil
 }
 
-// after returns the entries that follow the snapshot. conflict says that the
-// log does not fit the snapshot, which was received and took its place.
+// after returns the entries that follow the snapshot. conflict is true if the
+// log does not match the snapshot: the snapshot came from the leader and
+// replaces the log.
 func (r *replay) after(snapshot consensus.Snapshot) (entries []consensus.Entry, conflict bool, err error) {
 	if len(r.entries) == 0 {
 		return nil, false, nil
--- a/internal/raftlog/segments.go
+++ b/internal/raftlog/segments.go
@@ -32,18 +32,18 @@
 	return numbers, nil
 }
 
-// openLog reads all segments, cuts off a bad tail and returns the entries
-// after the snapshot.
+// openLog reads all segments, truncates an invalid tail and returns the entries
+// after the snapshot and the number of bytes truncated.
 func (s *Store) openLog(snapshot consensus.Snapshot) ([]consensus.Entry, int64, error) {
 	numbers, err := s.segmentNumbers()
 	if err != nil {
 		return nil, 0, err
 	}
 	if len(numbers) == 0 && s.hasState {
-		return nil, 0, &CorruptError{File: s.path(segmentName(1)), Reason: "no segment although there is a state"}
+		return nil, 0, &CorruptError{File: s.path(segmentName(1)), Reason: "no segment exists although there is a state file"}
 	}
 	var replayed replay
-	var cut int64
+	var truncated int64
 	for i, number := range numbers {
 		if i > 0 && number != numbers[i-1]+1 {
 			return nil, 0, &CorruptError{File: s.path(segmentName(numbers[i-1] + 1)), Reason: "segment is missing"}
@@ -53,7 +53,7 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		cut += n
+		truncated += n
 	}
 	entries, conflict, err := replayed.after(snapshot)
 	if err != nil {
@@ -63,56 +63,58 @@
 		return nil, 0, err
 	}
 	if conflict {
-		// The snapshot was installed, its reset record not yet written.
+		// The server crashed between saving the snapshot and writing the reset record.
 		if err := s.Reset(snapshot.Index); err != nil {
 			return nil, 0, err
 		}
 	}
-	return entries, cut, nil
+	return entries, truncated, nil
 }
 
-// openSegment replays one segment and returns how much of its tail was cut.
+// openSegment replays one segment and returns the number of bytes truncated
+// from its tail.
 func (s *Store) openSegment(number uint64, last bool, replayed *replay) (int64, error) {
 	path := s.path(segmentName(number))
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return 0, fmt.Errorf("read segment: %w", err)
 	}
-	found := scanSegment(data, number)
-	seg := segment{number: number, size: found.good}
-	for _, record := range found.records {
+	result := scanSegment(data, number)
+	seg := segment{number: number, size: result.validSize}
+	for _, record := range result.records {
 		if err := replayed.add(record); err != nil {
 			return 0, &CorruptError{File: path, Reason: err.Error()}
 		}
-		seg.note(record)
+		seg.updateLastIndex(record)
 	}
 	s.segments = append(s.segments, seg)
-	bad := int64(len(data)) - found.good
+	invalid := int64(len(data)) - result.validSize
 	switch {
-	case bad == 0:
+	case invalid == 0:
 		return 0, nil
-	case found.laterFrame >= 0:
-		return 0, &CorruptError{File: path, Offset: found.good, Reason: fmt.Sprintf("bad frame before a good one at %d", found.laterFrame)}
+	case result.laterFrame >= 0:
+		return 0, &CorruptError{File: path, Offset: result.validSize, Reason: fmt.Sprintf("invalid frame before a valid one at %d", result.laterFrame)}
 	case !last:
-		return 0, &CorruptError{File: path, Offset: found.good, Reason: "bad frame before the last segment"}
+		return 0, &CorruptError{File: path, Offset: result.validSize, Reason: "invalid frame in a segment that is not the last"}
 	}
-	if !interrupted(data, number, found.good) {
+	if !isTornWrite(data, number, result.validSize) {
 		if err := s.reincarnate(); err != nil {
 			return 0, err
 		}
 	}
-	return bad, s.cutTail(path, found.good)
+	return invalid, s.truncateTail(path, result.validSize)
 }
 
-// cutTail makes the cut durable before anything is written after it.
-func (s *Store) cutTail(path string, size int64) error {
+// truncateTail truncates a segment durably, before anything else is written
+// to it.
+func (s *Store) truncateTail(path string, size int64) error {
 	f, err := os.OpenFile(path, os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("open segment: %w", err)
 	}
 	defer f.Close()
 	if err := f.Truncate(size); err != nil {
-		return fmt.Errorf("cut off tail: %w", err)
+		return fmt.Errorf("truncate segment: %w", err)
 	}
 	if err := f.Sync(); err != nil {
 		return fmt.Errorf("sync segment: %w", err)
@@ -120,16 +122,17 @@
 	return nil
 }
 
-func (seg *segment) note(record *rpc.RaftRecord) {
+func (seg *segment) updateLastIndex(record *rpc.RaftRecord) {
 	for _, e := range record.GetEntries() {
 		seg.lastIndex = max(seg.lastIndex, e.GetIndex())
 	}
 }
 
-// openLast opens the last segment for writing, the first one if there is none.
+// openLast opens the last segment for writing, and creates the first one if
+// there is none.
 func (s *Store) openLast() error {
 	if len(s.segments) == 0 {
-		return s.beginSegment(1)
+		return s.createSegment(1)
 	}
 	last := s.segments[len(s.segments)-1]
 	f, err := os.OpenFile(s.path(segmentName(last.number)), os.O_WRONLY, 0o600)
@@ -140,9 +143,9 @@
 	return nil
 }
 
-// beginSegment makes an empty segment the last one. A file of this number can
-// only be left over from a try that failed; nothing durable is in it.
-func (s *Store) beginSegment(number uint64) error {
+// createSegment appends an empty segment. An existing file of this number is
+// left over from an earlier call that failed, and contains no synced entries.
+func (s *Store) createSegment(number uint64) error {
 	f, err := os.OpenFile(s.path(segmentName(number)), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("create segment: %w", err)
@@ -160,14 +163,14 @@
 	return nil
 }
 
-// Append makes entries durable with one sync. They replace all earlier ones
-// from their first index on. After an error nothing of it counts as written, and
-// the only call allowed is the same one again: it writes to the same place.
+// Append makes entries durable with one sync. They replace all earlier entries
+// from their first index on. After an error none of them counts as written, and
+// the caller must repeat the same call, which writes at the same position.
 func (s *Store) Append(entries []consensus.Entry) error {
 	return s.write(&rpc.RaftRecord{Entries: EntriesToProto(entries)})
 }
 
-// Reset drops all entries: a snapshot that ends at index took their place.
+// Reset discards all entries: a snapshot up to index replaces them.
 func (s *Store) Reset(index uint64) error {
 	return s.write(&rpc.RaftRecord{ResetIndex: index})
 }
@@ -175,7 +178,7 @@
 func (s *Store) write(record *rpc.RaftRecord) error {
 	last := &s.segments[len(s.segments)-1]
 	if last.size >= s.opts.SegmentBytes {
-		if err := s.beginSegment(last.number + 1); err != nil {
+		if err := s.createSegment(last.number + 1); err != nil {
 			return err
 		}
 		last = &s.segments[len(s.segments)-1]
@@ -192,18 +195,18 @@
 		return fmt.Errorf("sync log: %w", err)
 	}
 	last.size += int64(len(s.buf))
-	last.note(record)
+	last.updateLastIndex(record)
 	return nil
 }
 
-// Compact removes the segments that hold only entries up to index. The
-// snapshot that covers them must be durable.
+// Compact removes the segments whose entries all have an index up to index. A
+// snapshot that covers them must already be durable.
 func (s *Store) Compact(index uint64) error {
 	for len(s.segments) > 1 && s.segments[0].lastIndex <= index {
 		if err := os.Remove(s.path(segmentName(s.segments[0].number))); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return fmt.Errorf("remove segment: %w", err)
 		}
-		// One by one: after a crash no segment may be missing in between.
+		// Sync after each removal, so that a crash leaves no gap between segments.
 		if err := durable.SyncDir(s.dir); err != nil {
 			return err
 		}
--- a/internal/raftlog/store.go
+++ b/internal/raftlog/store.go
@@ -12,7 +12,7 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// DefaultSegmentBytes is the size after which a new segment is begun.
+// DefaultSegmentBytes is the default of Options.SegmentBytes.
 const DefaultSegmentBytes = 4 << 20
 
 // Names of the files in the data folder.
@@ -24,12 +24,12 @@
 
 // Options are the settings of a Store.
 type Options struct {
-	// SegmentBytes is the size after which a new segment is begun.
+	// SegmentBytes is the segment size from which on a new segment is created.
 	SegmentBytes int64
 }
 
-// Store is the durable state of one server. SaveSnapshot may run beside the
-// other methods; those are for one goroutine.
+// Store is the durable state of one server. SaveSnapshot may run concurrently
+// with the other methods, which must not run concurrently with each other.
 type Store struct {
 	dir  string
 	id   consensus.ServerID
@@ -46,21 +46,21 @@
 	reincarnated bool
 }
 
-// segment is one file of the log. lastIndex is the highest entry in it.
+// segment is one file of the log. lastIndex is the highest index of an entry in it.
 type segment struct {
 	number    uint64
 	size      int64
 	lastIndex uint64
 }
 
-// Recovered is what Open found.
+// Recovered is the state that Open read from the data folder.
 type Recovered struct {
 	ID    consensus.ServerID
 	State consensus.Restored
-	// CutBytes is the length of the bad tail that was cut off.
+	// CutBytes is the length of the invalid tail that was truncated.
 	CutBytes int64
-	// Reincarnated: what was cut off may have been acknowledged, so this
-	// server has a new identity and must join again.
+	// Reincarnated is true if the truncated tail may have been acknowledged. The
+	// server then has a new incarnation and must join the cluster again.
 	Reincarnated bool
 }
 
@@ -83,7 +83,7 @@
 	return s, recovered, nil
 }
 
-// openIdentity reads the identity or, in an empty folder, draws one.
+// openIdentity reads the identity or, in an empty folder, creates one.
 func (s *Store) openIdentity(name string) error {
 	var identity rpc.RaftIdentity
 	found, err := readFile(s.path(identityFile), &identity)
@@ -103,7 +103,7 @@
 func (s *Store) createIdentity(name string) error {
 	for _, file := range []string{stateFile, snapshotFile} {
 		if _, err := os.Stat(s.path(file)); err == nil {
-			return &CorruptError{File: s.path(identityFile), Reason: "missing although there is a " + file}
+			return &CorruptError{File: s.path(identityFile), Reason: "missing although there is a file " + file}
 		}
 	}
 	if numbers, err := s.segmentNumbers(); err != nil {
@@ -112,27 +112,27 @@
 		return &CorruptError{File: s.path(identityFile), Reason: "missing although there is a log"}
 	}
 	s.id.Name = name
-	return s.drawIncarnation()
+	return s.newIncarnation()
 }
 
-// drawIncarnation gives the server a new identity, durably.
-func (s *Store) drawIncarnation() error {
+// newIncarnation writes an identity with a random incarnation durably.
+func (s *Store) newIncarnation() error {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return fmt.Errorf("draw incarnation: %w", err)
+		return fmt.Errorf("generate incarnation: %w", err)
 	}
 	s.id.Incarnation = binary.LittleEndian.Uint64(random[:]) | 1 // never zero
 	return writeFile(s.path(identityFile), &rpc.RaftIdentity{Id: ServerIDToProto(s.id)})
 }
 
-// reincarnate is called before something is cut off that may have been
-// acknowledged.
+// reincarnate gives the server a new incarnation. It is called before a tail
+// is truncated that may have been acknowledged.
 func (s *Store) reincarnate() error {
 	s.reincarnated = true
-	return s.drawIncarnation()
+	return s.newIncarnation()
 }
 
-// recover reads everything but the identity.
+// recover reads all files except the identity.
 func (s *Store) recover() (Recovered, error) {
 	recovered := Recovered{ID: s.id}
 	var state rpc.RaftHardState
@@ -169,7 +169,8 @@
 	})
 }
 
-// SaveSnapshot makes a snapshot durable unless a newer one is held.
+// SaveSnapshot makes a snapshot durable, unless one at the same or a later index
+// is stored already.
 func (s *Store) SaveSnapshot(snapshot consensus.Snapshot) error {
 	s.snapshotMu.Lock()
 	defer s.snapshotMu.Unlock()
--- a/internal/raftlog/store_test.go
+++ b/internal/raftlog/store_test.go
@@ -13,7 +13,7 @@
 	"lynxgate.dev/lynxgate/internal/consensus"
 	"lynxgate.dev/lynxgate/internal/rpc"
 
-	_ "lynxgate.dev/lynxgate/internal/testseed" // the same schedules every run
+	_ "lynxgate.dev/lynxgate/internal/testseed" // runs the same schedules each time
 )
 
 func open(t require.TestingT, dir string) (*Store, Recovered) {
@@ -31,7 +31,7 @@
 	return out
 }
 
-// storeModel is what a Store must give back.
+// storeModel is the state that a Store must recover.
 type storeModel struct {
 	hard     consensus.HardState
 	snapshot consensus.Snapshot
@@ -40,9 +40,9 @@
 
 func (m *storeModel) last() uint64 { return m.snapshot.Index + uint64(len(m.entries)) }
 
-// TestStoreKeepsWhatWasSynced compares a store, reopened at any time and with
-// the rest of an interrupted write at its end, to a model.
-func TestStoreKeepsWhatWasSynced(t *testing.T) {
+// Compares the state recovered by a store to a model. The store is reopened at
+// any time, also after a torn write at the end of its log.
+func TestStoreRecoversSyncedState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "raftlog")
 		require.NoError(t, err)
@@ -132,9 +132,9 @@
 	return path, data
 }
 
-// filled returns a folder with three frames of two entries each, and where
-// the last frame begins.
-func filled(t *testing.T) (dir, path string, data []byte, lastFrame int64) {
+// newThreeFrameLog returns a data folder with a log of three frames of two entries
+// each, and the offset of the last frame.
+func newThreeFrameLog(t *testing.T) (dir, path string, data []byte, lastFrame int64) {
 	dir = t.TempDir()
 	s, _, err := Open(dir, "a", Options{})
 	require.NoError(t, err)
@@ -148,8 +148,8 @@
 	return dir, path, data, lastFrame
 }
 
-func TestInterruptedTailIsCutOff(t *testing.T) {
-	dir, path, data, lastFrame := filled(t)
+func TestTornWriteIsTruncated(t *testing.T) {
+	dir, path, data, lastFrame := newThreeFrameLog(t)
 	for size := lastFrame; size < int64(len(data)); size++ {
 		require.NoError(t, os.WriteFile(path, data[:size], 0o600))
 		s, recovered := open(t, dir)
@@ -166,10 +166,10 @@
 	require.False(t, recovered.Reincarnated)
 }
 
-// Each damaged byte before the last frame stops the server; in the last frame
-// it costs that frame and the identity.
+// A damaged byte before the last frame causes a CorruptError. In the last frame, Open
+// truncates that frame and changes the incarnation.
 func TestDamagedByte(t *testing.T) {
-	dir, path, data, lastFrame := filled(t)
+	dir, path, data, lastFrame := newThreeFrameLog(t)
 	identity, err := os.ReadFile(filepath.Join(dir, identityFile))
 	require.NoError(t, err)
 	for i := range data {
@@ -188,11 +188,11 @@
 		require.True(t, recovered.Reincarnated, "byte %d", i)
 		require.NoError(t, s.Close())
 		_, again := open(t, dir)
-		require.Equal(t, recovered.ID, again.ID, "the new identity is durable")
+		require.Equal(t, recovered.ID, again.ID, "the new incarnation is durable")
 	}
 }
 
-func TestDamagedOrMissingFilesStopTheServer(t *testing.T) {
+func TestDamagedOrMissingFileIsCorrupt(t *testing.T) {
 	for _, file := range []string{identityFile, stateFile, snapshotFile, segmentName(1)} {
 		for _, remove := range []bool{false, true} {
 			t.Run(fmt.Sprint(file, " removed=", remove), func(t *testing.T) {
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestFolderOfAnotherServer(t *testing.T) {
+func TestDataFolderOfAnotherServerIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := open(t, dir)
 	require.NoError(t, s.Close())
@@ -230,15 +230,15 @@
 	require.ErrorAs(t, err, &foreign)
 }
 
-func TestBlankFoldersDifferInIncarnation(t *testing.T) {
+func TestNewFoldersHaveDifferentIncarnations(t *testing.T) {
 	_, one := open(t, t.TempDir())
 	_, two := open(t, t.TempDir())
 	require.NotEqual(t, one.ID, two.ID)
 	require.NotZero(t, one.ID.Incarnation)
 }
 
-// FuzzOpenSegment requires that any content of a segment opens or is refused
-// as corrupt, and that what opened opens again with the same entries.
+// FuzzOpenSegment requires that a segment with any content is opened or rejected
+// as corrupt, and that one which was opened recovers the same state again.
 func FuzzOpenSegment(f *testing.F) {
 	good, err := encodeFrame(nil, 1, 0, &rpc.RaftRecord{Entries: EntriesToProto(entriesFrom(1, 1, 2))})
 	require.NoError(f, err)
