--- a/internal/replica/api.go
+++ b/internal/replica/api.go
@@ -7,11 +7,11 @@
 	"github.com/rs/zerolog"
 )
 
-// FSM is the state machine that the replicated log drives. All three methods
-// run on one goroutine of the node, never at the same time.
+// FSM is the state machine that the replicated log drives. The node never calls
+// its methods concurrently.
 type FSM interface {
-	// Apply executes one committed command. It must be deterministic; its
-	// result is handed to the proposer.
+	// Apply executes one committed command. It must be deterministic. The node
+	// returns its result to the proposer.
 	Apply(index uint64, data []byte) any
 	// Snapshot returns the whole state after the last applied command.
 	Snapshot() ([]byte, error)
@@ -19,8 +19,8 @@
 	Restore(snapshot []byte) error
 }
 
-// Member is one server of the cluster. The incarnation is the random number
-// kept on its disk; it is zero in settings, where only names are known.
+// Member is one server of the cluster. Incarnation is the random number stored in
+// its data folder; it is zero in settings, where only names are known.
 type Member struct {
 	Name        string
 	Addr        string
@@ -28,42 +28,42 @@
 	Learner     bool
 }
 
-// Config holds the settings of one node. Zero values take the defaults below.
+// Config holds the settings of one node. Zero values mean the defaults below.
 type Config struct {
 	// Name and Addr (IP:port) of this server.
 	Name string
 	Addr string
 	// Dir is the data folder of this server.
 	Dir string
-	// Peers are the initial voters by name and address, the same list on
-	// all of them. A server that joins later lists the servers to ask.
+	// Peers are the names and addresses of the initial voters, the same list on
+	// all of them. A server that joins later lists the servers it joins through.
 	Peers []Member
 	// TickInterval is the length of one tick of the consensus core.
 	TickInterval time.Duration
-	// ElectionTicks is the shortest election timeout; the longest is twice it.
+	// ElectionTicks is the shortest election timeout; the longest is twice as long.
 	ElectionTicks int
 	// HeartbeatTicks is the time between heartbeats of a leader.
 	HeartbeatTicks int
 	// SnapshotEntries is the number of applied entries between snapshots.
 	SnapshotEntries int
-	// JoinOnly keeps a server with an empty data folder from founding a cluster.
+	// JoinOnly prevents a server with an empty data folder from founding a cluster.
 	JoinOnly bool
 	// AdmitNewcomers lets the leader add servers that ask to join.
 	AdmitNewcomers bool
-	// RetireAfter is after how long without a word the leader removes a learner; 0 is
-	// that nobody is ever removed.
+	// RetireAfter is the time after which the leader removes a learner that it receives
+	// no messages from; 0 disables all automatic removals.
 	RetireAfter time.Duration
-	// SpareAfter is the same of a voter that an even number of voters can spare; 0 is
-	// RetireAfter.
+	// SpareAfter is the same time for a voter whose removal lowers the quorum, which
+	// requires an even number of voters; 0 means RetireAfter.
 	SpareAfter time.Duration
-	// LostDisks is how many members may lose their disks at once. The leader keeps
-	// more than twice as many voters, though some are not heard.
+	// LostDisks is the number of members that may lose their disks at once. The leader
+	// keeps at least 2*LostDisks+1 voters, even if some of them are unreachable.
 	LostDisks int
-	// RetryDisk keeps the node waiting for a disk that refuses writes, where it
-	// else stops: it answers nobody meanwhile, and the others elect a leader.
+	// RetryDisk makes the node retry failed writes instead of stopping. It answers no
+	// messages until a retry succeeds, and the other members elect a leader.
 	RetryDisk bool
 	Logger    zerolog.Logger
-	// wrapStorage, if set, returns what the node uses in place of its storage.
+	// wrapStorage, if set, wraps the storage of the node; for tests.
 	wrapStorage func(storage) storage
 }
 
@@ -75,10 +75,10 @@
 	DefaultSnapshotEntries = 10000
 )
 
-// Role is the part a node plays in its cluster.
+// Role is the role of a node in its cluster.
 type Role string
 
-// The roles of a node. A joining node holds no state of the cluster yet.
+// The roles of a node. A joining node has no state of the cluster yet.
 const (
 	RoleLeader    Role = "leader"
 	RoleFollower  Role = "follower"
@@ -99,13 +99,13 @@
 	Commit     uint64
 	Applied    uint64
 	Members    []Member
-	// LastQuorumContact is when a majority of the voters was last known to
-	// be in reach; zero if never since the start. It is a hint: a message
-	// may have waited on its way. ReadIndex confirms.
+	// LastQuorumContact is the last time at which a majority of the voters was
+	// known to be reachable; zero if never since the node started. It is only a
+	// hint, since messages may be delayed; ReadIndex confirms a quorum.
 	LastQuorumContact time.Time
 }
 
-// NotLeaderError refuses a call that only the leader can serve. Nothing was
+// NotLeaderError rejects a call that only the leader can serve. Nothing was
 // accepted. Leader is the address of the leader, empty if not known.
 type NotLeaderError struct {
 	Leader string
@@ -120,15 +120,15 @@
 
 // Errors of a node, matched with errors.Is.
 var (
-	// ErrNoQuorum refuses a call since no majority is in reach. Nothing was accepted.
+	// ErrNoQuorum rejects a call because no majority is reachable. Nothing was accepted.
 	ErrNoQuorum = errors.New("no quorum in reach")
-	// ErrResultUnknown says that a proposal may or may not be accepted.
+	// ErrResultUnknown means that a proposal may or may not be committed.
 	ErrResultUnknown = errors.New("result of the proposal is unknown")
-	// ErrStopped refuses a call on a stopped node.
+	// ErrStopped rejects a call on a stopped node.
 	ErrStopped = errors.New("node is stopped")
-	// ErrUnknownServer refuses a membership change that names a server
-	// which is no member and has not asked to join.
+	// ErrUnknownServer rejects a membership change for a server that is not a
+	// member and has not asked to join.
 	ErrUnknownServer = errors.New("server is no member and has not asked to join")
-	// ErrChangePending refuses a membership change while another is in progress.
+	// ErrChangePending rejects a membership change while another is in progress.
 	ErrChangePending = errors.New("another membership change is in progress")
 )
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -7,8 +7,8 @@
 	"lynxgate.dev/lynxgate/internal/consensus"
 )
 
-// maxLogBytes is the size of applied commands after which a snapshot is taken
-// even if they are few: the log is held in memory.
+// maxLogBytes is the total size of applied commands from which on a snapshot is
+// taken regardless of their number, since the log is kept in memory.
 const maxLogBytes = 16 << 20
 
 // applyItem is a snapshot to restore or entries to apply.
@@ -17,15 +17,16 @@
 	entries  []consensus.Entry
 }
 
-// waiter waits for the entry at one index. A committed entry of another term
-// there means that its own entry is gone for good.
+// waiter is a proposer that waits for the entry at one index. If an entry of
+// another term is committed there, the proposed entry was replaced and is never
+// applied.
 type waiter struct {
 	term uint64
 	done chan outcome
 }
 
-// applier applies committed entries on a goroutine of its own. Its queue is
-// not bounded: what waits is held by the log anyway.
+// applier applies committed entries on its own goroutine. Its queue needs no
+// bound, since the log keeps the queued entries in memory anyway.
 type applier struct {
 	node *Node
 	fsm  FSM
@@ -35,10 +36,10 @@
 	queue   []applyItem
 	waiters map[uint64]waiter
 	applied uint64
-	// watchers are closed once their index is applied.
+	// watchers maps channels to indexes; a channel is closed once its index is applied.
 	watchers map[chan struct{}]uint64
 
-	snapshotIndex uint64 // of the last snapshot asked for or restored
+	snapshotIndex uint64 // of the last snapshot taken or restored
 	snapshotBytes int    // size of the commands applied since then
 }
 
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// finish publishes that an entry is applied and answers its proposer.
+// finish advances the applied index to an entry and answers its proposer.
 func (a *applier) finish(e consensus.Entry, result any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -123,13 +124,13 @@
 		if w.term == e.Term {
 			w.done <- outcome{result: result, index: e.Index}
 		} else {
-			w.done <- outcome{err: a.node.notLeader()}
+			w.done <- outcome{err: a.node.notLeaderError()}
 		}
 	}
 	a.advance(e.Index)
 }
 
-// advance is called with mu held.
+// advance sets the applied index. The caller holds mu.
 func (a *applier) advance(index uint64) {
 	a.applied = index
 	a.node.metrics.appliedIndex.Set(float64(index))
@@ -141,7 +142,7 @@
 	}
 }
 
-// maybeSnapshot takes a snapshot when enough entries were applied.
+// maybeSnapshot takes a snapshot if enough entries were applied since the last one.
 func (a *applier) maybeSnapshot() error {
 	applied := a.appliedIndex()
 	if applied-a.snapshotIndex < uint64(a.node.cfg.SnapshotEntries) && a.snapshotBytes < maxLogBytes {
@@ -166,13 +167,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if old, ok := a.waiters[index]; ok {
-		// Of an earlier term, and its entry was replaced by ours.
-		old.done <- outcome{err: a.node.notLeader()}
+		// The earlier waiter's entry has an earlier term and was replaced.
+		old.done <- outcome{err: a.node.notLeaderError()}
 	}
 	a.waiters[index] = waiter{term: term, done: done}
 }
 
-// failWaiters answers all proposers that their result is not known.
+// failWaiters returns ErrResultUnknown to all waiting proposers.
 func (a *applier) failWaiters() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -188,7 +189,8 @@
 	return len(a.waiters)
 }
 
-// watch returns a channel closed once index is applied; nil if it is already.
+// watch returns a channel that is closed once index is applied, or nil if it
+// already is.
 func (a *applier) watch(index uint64) chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// BenchmarkIdle measures what a cluster of three sends while nothing happens.
-// One operation is one second.
+// BenchmarkIdle measures the traffic of an idle cluster of three servers. One
+// operation is one second.
 func BenchmarkIdle(b *testing.B) {
 	for _, heartbeat := range []int{2, DefaultHeartbeatTicks} {
 		b.Run(fmt.Sprintf("heartbeat=%v", time.Duration(heartbeat)*DefaultTickInterval), func(b *testing.B) {
@@ -60,7 +60,7 @@
 	})
 	c.propose("first")
 	leader := c.leader()
-	// sent returns a counter of the leader, and of the followers on average.
+	// sent returns a counter of the leader and the average over the followers.
 	sent := func(name string) (leading, following float64) {
 		for _, s := range c.servers {
 			if s == leader {
--- a/internal/replica/calls.go
+++ b/internal/replica/calls.go
@@ -12,12 +12,12 @@
 // MaxCommandBytes is the largest command that can be proposed.
 const MaxCommandBytes = 1 << 20
 
-// ErrTooLarge refuses a command larger than MaxCommandBytes.
+// ErrTooLarge rejects a command larger than MaxCommandBytes.
 var ErrTooLarge = errors.New("command is too large")
 
 // Propose appends a command to the log and returns the result of applying it
-// here. After ErrResultUnknown the command may or may not be applied later;
-// after any other error it never is.
+// on this server. After ErrResultUnknown the command may or may not be applied
+// later; after any other error it never is.
 func (n *Node) Propose(ctx context.Context, data []byte) (any, error) {
 	if len(data) > MaxCommandBytes {
 		return nil, ErrTooLarge
@@ -31,16 +31,16 @@
 		return out.result, out.err
 	case <-ctx.Done():
 		if p.taken.CompareAndSwap(false, true) {
-			return nil, ctx.Err() // withdrawn in time
+			return nil, ctx.Err() // withdrawn before the event loop took it
 		}
 		return nil, fmt.Errorf("%w: %w", ErrResultUnknown, ctx.Err())
 	case <-n.stopped:
-		return n.abandoned(p)
+		return n.resultAfterStop(p)
 	}
 }
 
-// abandoned ends a proposal on a stopped node.
-func (n *Node) abandoned(p *proposal) (any, error) {
+// resultAfterStop returns the result of a proposal on a stopped node.
+func (n *Node) resultAfterStop(p *proposal) (any, error) {
 	select {
 	case out := <-p.done:
 		return out.result, out.err
@@ -52,9 +52,9 @@
 	return nil, fmt.Errorf("%w: %w", ErrResultUnknown, ErrStopped)
 }
 
-// ReadIndex returns a log index such that a state applied up to it holds
-// every command accepted before the call. The leader confirms with a majority
-// that it still leads; a follower asks the leader.
+// ReadIndex returns a log index such that a state applied up to it reflects
+// every command accepted before the call. The leader confirms its leadership with
+// a majority; a follower forwards the call to the leader.
 func (n *Node) ReadIndex(ctx context.Context) (uint64, error) {
 	r := &read{done: make(chan outcome, 1)}
 	if err := n.post(ctx, readEvent{read: r}); err != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// WaitApplied returns once the entry at index is applied here.
+// WaitApplied returns once the entry at index is applied on this server.
 func (n *Node) WaitApplied(ctx context.Context, index uint64) error {
 	ch := n.applier.watch(index)
 	if ch == nil {
@@ -88,14 +88,14 @@
 	}
 }
 
-// AddLearner adds a server as a learner. The server must be running and
-// asking to join; the call waits for that until ctx ends. Its address is the
-// one it gives itself. Adding a server that is a member already changes nothing.
+// AddLearner adds a server as a learner. It waits until the server has asked to
+// join or ctx is done. The address is the one the server announces. Adding an
+// existing member changes nothing.
 func (n *Node) AddLearner(ctx context.Context, member Member) error {
 	return n.change(ctx, changeAddLearner, member.Name)
 }
 
-// Promote makes a learner a voter, once it is caught up.
+// Promote makes a learner a voter once it has caught up.
 func (n *Node) Promote(ctx context.Context, member Member) error {
 	return n.change(ctx, changePromote, member.Name)
 }
@@ -105,24 +105,25 @@
 	return n.change(ctx, changeRemove, member.Name)
 }
 
-// change asks for a membership change, again while it must wait for something.
+// change requests a membership change, and repeats the request while its
+// preconditions are not met.
 func (n *Node) change(ctx context.Context, kind changeKind, name string) error {
 	for {
 		err := n.changeOnce(ctx, kind, name)
-		if !mayWait(kind, err) {
-			return translateChange(err)
+		if !isRetryable(kind, err) {
+			return translateChangeError(err)
 		}
 		select {
 		case <-time.After(n.cfg.TickInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("%w: %w", translateChange(err), ctx.Err())
+			return fmt.Errorf("%w: %w", translateChangeError(err), ctx.Err())
 		case <-n.stopped:
 			return ErrStopped
 		}
 	}
 }
 
-func mayWait(kind changeKind, err error) bool {
+func isRetryable(kind changeKind, err error) bool {
 	switch {
 	case errors.Is(err, consensus.ErrChangePending), errors.Is(err, consensus.ErrNotReady), errors.Is(err, consensus.ErrNotCaughtUp):
 		return true
@@ -132,7 +133,7 @@
 	return false
 }
 
-func translateChange(err error) error {
+func translateChangeError(err error) error {
 	switch {
 	case errors.Is(err, consensus.ErrNoChange):
 		return nil
@@ -165,7 +166,7 @@
 	}
 }
 
-// handleChange runs on the event loop.
+// handleChange proposes a membership change. It runs on the event loop.
 func (n *Node) handleChange(c *change) {
 	if !c.taken.CompareAndSwap(false, true) {
 		return
@@ -177,7 +178,7 @@
 	}[c.kind]
 	index, term, err := propose(c.name)
 	if errors.Is(err, consensus.ErrNotLeader) || errors.Is(err, consensus.ErrTransferring) {
-		err = n.refusal()
+		err = n.unavailableError()
 	}
 	if err != nil {
 		c.done <- outcome{err: err}
@@ -186,21 +187,22 @@
 	n.applier.wait(index, term, c.done)
 }
 
-// refusal is the error of a call that only a leader can serve. It runs on the
-// event loop.
-func (n *Node) refusal() error {
+// unavailableError returns the error for a call that only the leader can serve.
+// It runs on the event loop.
+func (n *Node) unavailableError() error {
 	state := n.core.State()
 	if state.Leader.IsZero() {
 		return ErrNoQuorum
 	}
 	if state.Leader == state.ID {
-		return &NotLeaderError{} // handing over
+		return &NotLeaderError{} // transferring leadership
 	}
 	return &NotLeaderError{Leader: n.leaderAddr(state)}
 }
 
-// notLeader is the error of a proposal whose entry lost its place.
-func (n *Node) notLeader() error {
+// notLeaderError returns the error for a proposal whose entry was replaced by
+// one of another leader.
+func (n *Node) notLeaderError() error {
 	status := n.status.Load()
 	if status.LeaderName == status.Name {
 		return &NotLeaderError{}
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -17,10 +17,10 @@
 	"storj.io/drpc/drpcserver"
 )
 
-// waitLimit is generous: no test depends on how fast the machine is.
+// waitLimit is long enough for slow machines.
 const waitLimit = 30 * time.Second
 
-// listFSM keeps every command in order.
+// listFSM records all commands in order.
 type listFSM struct {
 	mu       sync.Mutex
 	commands []string
@@ -52,10 +52,10 @@
 	return append([]string(nil), f.commands...)
 }
 
-// server is one node with its listener. Its data folder outlives stop.
+// server is one node with its listener. Its data folder is kept when it stops.
 type server struct {
 	cfg   Config
-	addr  string // listened on; cfg.Addr may be a relay's
+	addr  string // listen address; cfg.Addr may be that of a relay
 	node  *Node
 	fsm   *listFSM
 	close func()
@@ -67,9 +67,9 @@
 	peers   []Member
 }
 
-// reserveAddr returns a loopback address that is free now. Its IP is drawn, so that it is
-// still free when a server listens there: outgoing connections and other test processes
-// take ports of 127.0.0.1.
+// reserveAddr returns a free loopback address. Its IP is random, so that it is still free
+// when a server listens there: outgoing connections and other test processes use ports of
+// 127.0.0.1.
 func reserveAddr(t testing.TB) string {
 	ip := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 	lis, err := net.Listen("tcp", ip+":0")
@@ -130,7 +130,7 @@
 	}
 }
 
-// kill ends a server without handing over; it may be called twice.
+// kill stops a server without a leadership transfer. It may be called repeatedly.
 func (s *server) kill() {
 	if s.node == nil {
 		return
@@ -173,7 +173,7 @@
 	return leader
 }
 
-// follower returns a server that does not lead; the last one of those.
+// follower returns a server that is not the leader.
 func (c *cluster) follower() *server {
 	leader := c.leader()
 	var follower *server
@@ -185,7 +185,7 @@
 	return follower
 }
 
-// propose tries until some leader has accepted the command.
+// propose repeats a proposal until a leader has accepted it.
 func (c *cluster) propose(command string) {
 	require.Eventually(c.t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -195,9 +195,8 @@
 	}, waitLimit, 5*time.Millisecond)
 }
 
-// change asks the leader for a membership change until the members are as the change
-// makes them. A leader that is replaced meanwhile tells that the result is unknown, as
-// to an operator, who looks and asks again.
+// change repeats a membership change at the leader until it succeeds or done reports that
+// it is in effect: a leader that is replaced meanwhile returns ErrResultUnknown.
 func (c *cluster) change(call func(ctx context.Context, n *Node) error, done func(members []Member) bool) {
 	require.Eventually(c.t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -208,7 +207,7 @@
 }
 
 // requireList waits until every running server has applied the same commands,
-// each of want among them.
+// including all of want.
 func (c *cluster) requireList(want ...string) {
 	require.EventuallyWithT(c.t, func(t *assertT) {
 		for _, s := range c.servers {
--- a/internal/replica/cut_test.go
+++ b/internal/replica/cut_test.go
@@ -9,9 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// relay passes connections on to a server. After cut, those it has swallow
-// everything without an error, as after a silent cut of the network, and so do
-// new ones until heal.
+// relay forwards connections to a server. cut simulates a network partition: open
+// connections, and new ones until heal, discard all data without an error.
 type relay struct {
 	lis    net.Listener
 	target string
@@ -46,14 +45,15 @@
 		}
 		r.mu.Lock()
 		r.conns = append(r.conns, in)
-		born, down := r.cuts, r.down
+		cutsAtAccept, down := r.cuts, r.down
 		r.mu.Unlock()
-		go r.pass(in, born, down)
+		go r.forward(in, cutsAtAccept, down)
 	}
 }
 
-// pass copies until the connection is cut, and then goes on to swallow.
-func (r *relay) pass(in net.Conn, born int, down bool) {
+// forward copies data to the server until the connection is cut, and discards it
+// from then on.
+func (r *relay) forward(in net.Conn, cutsAtAccept int, down bool) {
 	defer in.Close()
 	var out net.Conn
 	if !down {
@@ -71,7 +71,7 @@
 			return
 		}
 		r.mu.Lock()
-		cut := down || r.cuts > born
+		cut := down || r.cuts > cutsAtAccept
 		r.mu.Unlock()
 		if cut {
 			continue
@@ -95,24 +95,24 @@
 	r.down = false
 }
 
-// A leader that is cut off silently gives up, another one takes over, and the
-// old one catches up over new connections once the cut ends.
-func TestSilentCutOfTheLeader(t *testing.T) {
-	c, relays := relayed(t, nil)
+// A leader in a partition without connection resets must step down, another server must
+// be elected, and the old leader must catch up over new connections afterwards.
+func TestSilentPartitionOfLeader(t *testing.T) {
+	c, relays := newRelayedCluster(t, nil)
 	c.propose("one")
 	old := c.leader()
 	relays[old.cfg.Name].cut()
 	require.Eventually(t, func() bool {
 		return old.node.Status().Role != RoleLeader && c.leader() != old
-	}, waitLimit, tick)
+	}, waitLimit, pollInterval)
 	c.propose("two")
 	relays[old.cfg.Name].heal()
 	c.requireList("one", "two")
 }
 
-// relayed starts three servers whose messages all pass relays, by name of the server they
-// lead to.
-func relayed(t *testing.T, adjust func(*Config)) (*cluster, map[string]*relay) {
+// newRelayedCluster starts three servers, each reachable only through a relay, and returns
+// the relays by server name.
+func newRelayedCluster(t *testing.T, adjust func(*Config)) (*cluster, map[string]*relay) {
 	c := &cluster{t: t, servers: map[string]*server{}}
 	relays := map[string]*relay{}
 	listen := map[string]string{}
@@ -127,23 +127,24 @@
 	return c, relays
 }
 
-// silence makes all connections to a server silent for good, while new ones work.
-func (r *relay) silence() {
+// silenceOpenConns makes all open connections to a server discard their data permanently. New
+// connections work.
+func (r *relay) silenceOpenConns() {
 	r.cut()
 	r.heal()
 }
 
-// Connections to one server go silent for good, without a reset, and those from it
-// go on: it is heard, so nothing but its own renewed connections tells the others.
-func TestConnectionsToAServerGoSilentForGood(t *testing.T) {
-	for _, deaf := range []string{"leader", "follower"} {
-		c, relays := relayed(t, nil)
+// All connections to one server discard their data without a reset, while those from it
+// work. Since the others receive its messages, only missing receipts reveal the failure.
+func TestSilentConnectionsToServerAreReplaced(t *testing.T) {
+	for _, target := range []string{"leader", "follower"} {
+		c, relays := newRelayedCluster(t, nil)
 		c.propose("one")
 		c.requireList("one")
 		leader := c.leader()
 		for name := range c.servers {
-			if (name == leader.cfg.Name) == (deaf == "leader") {
-				relays[name].silence()
+			if (name == leader.cfg.Name) == (target == "leader") {
+				relays[name].silenceOpenConns()
 				break
 			}
 		}
@@ -152,9 +153,9 @@
 	}
 }
 
-// The same with a majority that needs each of its connections.
-func TestSilentConnectionsOfTheLastMajority(t *testing.T) {
-	c, relays := relayed(t, nil)
+// The same failure when only a minimal majority runs, which needs every connection.
+func TestSilentConnectionsInMinimalMajorityAreReplaced(t *testing.T) {
+	c, relays := newRelayedCluster(t, nil)
 	c.propose("one")
 	c.requireList("one")
 	leader := c.leader()
@@ -167,7 +168,7 @@
 	}
 	for name := range c.servers {
 		if name != leader.cfg.Name {
-			relays[name].silence()
+			relays[name].silenceOpenConns()
 		}
 	}
 	c.propose("two")
--- a/internal/replica/disk_test.go
+++ b/internal/replica/disk_test.go
@@ -12,40 +12,40 @@
 	"lynxgate.dev/lynxgate/internal/consensus"
 )
 
-// badDisk is a storage whose writes stall or fail for a time.
-type badDisk struct {
+// faultyStorage is a storage whose writes can be made to stall or fail.
+type faultyStorage struct {
 	storage
 
 	mu sync.Mutex
-	// stalled is closed when writes go on; nil if they do.
+	// stalled is closed when stalled writes resume; nil if writes are not stalled.
 	stalled chan struct{}
-	refuses bool
+	failing bool
 }
 
-var errDisk = errors.New("disk refuses")
+var errDisk = errors.New("write failed")
 
-func (d *badDisk) write(do func() error) error {
+func (d *faultyStorage) write(do func() error) error {
 	d.mu.Lock()
-	stalled, refuses := d.stalled, d.refuses
+	stalled, failing := d.stalled, d.failing
 	d.mu.Unlock()
 	if stalled != nil {
 		<-stalled
 	}
-	if refuses {
+	if failing {
 		return errDisk
 	}
 	return do()
 }
 
-func (d *badDisk) SaveHardState(h consensus.HardState) error {
+func (d *faultyStorage) SaveHardState(h consensus.HardState) error {
 	return d.write(func() error { return d.storage.SaveHardState(h) })
 }
 
-func (d *badDisk) Append(entries []consensus.Entry) error {
+func (d *faultyStorage) Append(entries []consensus.Entry) error {
 	return d.write(func() error { return d.storage.Append(entries) })
 }
 
-func (d *badDisk) stall() (goOn func()) {
+func (d *faultyStorage) stall() (resume func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	stalled := make(chan struct{})
@@ -58,18 +58,18 @@
 	}
 }
 
-func (d *badDisk) refuse(on bool) {
+func (d *faultyStorage) setFailing(failing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.refuses = on
+	d.failing = failing
 }
 
-// newClusterOnBadDisks returns three servers that wait for their disks, and the disks by
-// name.
-func newClusterOnBadDisks(t *testing.T) (*cluster, map[string]*badDisk) {
-	disks := map[string]*badDisk{}
+// newClusterWithFaultyDisks starts three servers that retry failed writes, and returns
+// their storages by server name.
+func newClusterWithFaultyDisks(t *testing.T) (*cluster, map[string]*faultyStorage) {
+	disks := map[string]*faultyStorage{}
 	c := newCluster(t, 3, func(cfg *Config) {
-		disk := &badDisk{}
+		disk := &faultyStorage{}
 		disks[cfg.Name] = disk
 		cfg.RetryDisk = true
 		cfg.wrapStorage = func(s storage) storage {
@@ -80,7 +80,7 @@
 	return c, disks
 }
 
-// requireOtherLeader proposes until the leader is another one than old.
+// requireOtherLeader waits until a leader other than old has accepted the command.
 func (c *cluster) requireOtherLeader(old *server, command string) {
 	require.Eventually(c.t, func() bool {
 		for _, s := range c.servers {
@@ -93,61 +93,62 @@
 			return err == nil
 		}
 		return false
-	}, waitLimit, tick)
+	}, waitLimit, pollInterval)
 }
 
-// A leader whose disk stalls is replaced; it keeps what it had acknowledged, takes over
-// what was decided meanwhile, and gives up nothing.
+// A leader whose disk stalls must be replaced. When its disk recovers, it must keep its
+// acknowledged entries and apply those committed meanwhile.
 func TestLeaderWithAStalledDiskIsReplaced(t *testing.T) {
-	c, disks := newClusterOnBadDisks(t)
+	c, disks := newClusterWithFaultyDisks(t)
 	c.propose("one")
 	c.requireList("one")
 	old := c.leader()
-	goOn := disks[old.cfg.Name].stall()
+	resume := disks[old.cfg.Name].stall()
 	defer func() {
-		if goOn != nil {
-			goOn()
+		if resume != nil {
+			resume()
 		}
 	}()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err := old.node.Propose(ctx, []byte("never durable at its leader"))
-	require.Error(t, err, "acknowledged by nobody")
+	require.Error(t, err, "a proposal must not be acknowledged while the disk stalls")
 	c.requireOtherLeader(old, "two")
-	goOn()
-	goOn = nil
+	resume()
+	resume = nil
 	c.requireList("one", "two")
 }
 
-// A follower whose disk refuses writes for a time catches up; the others go on.
-func TestFollowerWhoseDiskRefusesCatchesUp(t *testing.T) {
-	c, disks := newClusterOnBadDisks(t)
+// While a follower's writes fail, the other servers must accept proposals; afterwards the
+// follower must catch up.
+func TestFollowerCatchesUpAfterDiskErrors(t *testing.T) {
+	c, disks := newClusterWithFaultyDisks(t)
 	c.propose("one")
 	c.requireList("one")
 	leader := c.leader()
 	for name, disk := range disks {
 		if name != leader.cfg.Name {
-			disk.refuse(true)
-			defer disk.refuse(false)
+			disk.setFailing(true)
+			defer disk.setFailing(false)
 			c.propose("two")
 			c.propose("three")
-			disk.refuse(false)
+			disk.setFailing(false)
 			break
 		}
 	}
 	c.requireList("one", "two", "three")
 }
 
-// No change is acknowledged while the disks of a majority refuse writes.
-func TestNoMajorityOfDisksNoAcknowledgement(t *testing.T) {
-	c, disks := newClusterOnBadDisks(t)
+// No proposal may be acknowledged while writes fail on a majority of the disks.
+func TestProposalNeedsMajorityOfDisks(t *testing.T) {
+	c, disks := newClusterWithFaultyDisks(t)
 	c.propose("one")
 	c.requireList("one")
 	leader := c.leader()
 	for name, disk := range disks {
 		if name != leader.cfg.Name {
-			disk.refuse(true)
-			defer disk.refuse(false)
+			disk.setFailing(true)
+			defer disk.setFailing(false)
 		}
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
@@ -155,7 +156,7 @@
 	_, err := leader.node.Propose(ctx, []byte("two"))
 	require.Error(t, err)
 	for _, disk := range disks {
-		disk.refuse(false)
+		disk.setFailing(false)
 	}
 	c.propose("three")
 	c.requireList("one", "three")
--- a/internal/replica/events.go
+++ b/internal/replica/events.go
@@ -6,31 +6,31 @@
 	"lynxgate.dev/lynxgate/internal/consensus"
 )
 
-// event is something the event loop handles.
+// event is an input of the event loop.
 type event interface{ isEvent() }
 
 // messageEvent is a message from another server.
 type messageEvent struct{ message consensus.Message }
 
-// proposeEvent asks to append a command.
+// proposeEvent requests that a command is appended to the log.
 type proposeEvent struct{ proposal *proposal }
 
-// readEvent asks for a confirmed read index.
+// readEvent requests a confirmed read index.
 type readEvent struct{ read *read }
 
-// changeEvent asks for a membership change.
+// changeEvent requests a membership change.
 type changeEvent struct{ change *change }
 
-// transferEvent asks to hand leadership over.
+// transferEvent requests a transfer of the leadership.
 type transferEvent struct{}
 
-// snapshotTaken brings the state after the entry at index.
+// snapshotTaken carries the state after the entry at index.
 type snapshotTaken struct {
 	index uint64
 	data  []byte
 }
 
-// snapshotSaved says that a snapshot is durable, or why not.
+// snapshotSaved reports that a snapshot is durable, or the error.
 type snapshotSaved struct {
 	snapshot consensus.Snapshot
 	err      error
@@ -44,26 +44,26 @@
 func (snapshotTaken) isEvent() {}
 func (snapshotSaved) isEvent() {}
 
-// outcome ends a proposal, a read or a change.
+// outcome is the result of a proposal, a read or a change.
 type outcome struct {
 	result any
 	index  uint64
 	err    error
 }
 
-// proposal is a command on its way. Whoever moves taken from false decides:
-// the loop takes it up, or the caller withdraws it.
+// proposal is a pending command. Whoever sets taken first decides: the event
+// loop proposes it, or the caller withdraws it.
 type proposal struct {
 	data  []byte
 	taken atomic.Bool
 	done  chan outcome // buffered
 }
 
-// read is a ReadIndex call on its way.
+// read is a pending ReadIndex call.
 type read struct {
 	done chan outcome // buffered
-	// asked and begun are ticks of the loop.
-	asked, begun uint64
+	// Ticks of the latest request to the core and of the start of the call.
+	requestedAt, startedAt uint64
 }
 
 // changeKind is the kind of a membership change.
@@ -75,7 +75,7 @@
 	changeRemove
 )
 
-// change is a membership change on its way.
+// change is a pending membership change.
 type change struct {
 	kind  changeKind
 	name  string
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// maxBatchEvents bounds the events handled before the next sync.
+	// maxBatchEvents limits the events handled before the next sync.
 	maxBatchEvents = 1024
-	// maxBatchBytes bounds the commands that share one sync.
+	// maxBatchBytes is the size of commands from which on a batch takes no more events.
 	maxBatchBytes = 4 << 20
-	// giveUpTimeouts is after how many election timeouts without a leader
-	// waiting calls are given up.
-	giveUpTimeouts = 2
-	// sweepTicks is the time between sweeps of unused connections.
-	sweepTicks = 200
+	// pendingCallTimeouts is the number of election timeouts after which pending
+	// reads, and pending proposals of a former leader, fail.
+	pendingCallTimeouts = 2
+	// closeIdleTicks is the interval at which connections of idle peers are closed.
+	closeIdleTicks = 200
 )
 
-// batch collects the proposals and reads that arrived together: they share
-// one sync, one message to each peer and one round of confirmation.
+// batch collects proposals and reads that arrived together. They share one
+// sync, one message to each peer and one quorum confirmation.
 type batch struct {
 	proposals []*proposal
 	bytes     int
@@ -53,7 +53,7 @@
 	}
 }
 
-// drain handles what else has arrived without waiting for more.
+// drain handles the events that are already queued.
 func (n *Node) drain(b *batch) {
 	for i := 0; i < maxBatchEvents && b.bytes < maxBatchBytes; i++ {
 		select {
@@ -70,14 +70,14 @@
 	case messageEvent:
 		m := e.message
 		if m.Kind == consensus.KindHello || m.Kind == consensus.KindWelcome {
-			n.transport.learn(m.From, m.Addr)
+			n.transport.setAddr(m.From, m.Addr)
 		}
 		n.core.Step(m)
 	case proposeEvent:
 		b.proposals = append(b.proposals, e.proposal)
 		b.bytes += len(e.proposal.data)
 	case readEvent:
-		e.read.begun = n.now
+		e.read.startedAt = n.now
 		b.reads = append(b.reads, e.read)
 	case changeEvent:
 		n.handleChange(e.change)
@@ -96,20 +96,20 @@
 	if n.core.State().Role == consensus.Leader {
 		n.notLeaderSince = n.now
 	}
-	if n.now-n.notLeaderSince > n.giveUpTicks() {
+	if n.now-n.notLeaderSince > n.pendingCallTicks() {
 		n.applier.failWaiters()
 	}
-	n.tickReads()
-	if n.now%sweepTicks == 0 {
-		n.transport.sweep(clock.Now())
+	n.retryReads()
+	if n.now%closeIdleTicks == 0 {
+		n.transport.closeIdlePeers(clock.Now())
 	}
 }
 
-func (n *Node) giveUpTicks() uint64 { return uint64(giveUpTimeouts * n.cfg.ElectionTicks) }
+func (n *Node) pendingCallTicks() uint64 { return uint64(pendingCallTimeouts * n.cfg.ElectionTicks) }
 
-// flush hands the batch to the core.
+// flush passes the batch to the core.
 func (n *Node) flush(b *batch) {
-	n.askReads(b.reads)
+	n.requestReads(b.reads)
 	var taken []*proposal
 	var commands [][]byte
 	for _, p := range b.proposals {
@@ -123,9 +123,9 @@
 	}
 	index, term, err := n.core.Propose(commands...)
 	if err != nil {
-		refused := n.refusal()
+		unavailable := n.unavailableError()
 		for _, p := range taken {
-			p.done <- outcome{err: refused}
+			p.done <- outcome{err: unavailable}
 		}
 		return
 	}
@@ -135,7 +135,8 @@
 	}
 }
 
-// processReady carries out what the core asks for, until it asks no more.
+// processReady persists, sends and applies the output of the core until there is
+// none left.
 func (n *Node) processReady() error {
 	for n.core.HasReady() {
 		rd := n.core.Ready()
@@ -157,19 +158,20 @@
 	return nil
 }
 
-// diskRetryInterval is the pause between tries at a disk that refuses writes; a
-// write that succeeds late costs the others an election timeout at most.
+// diskRetryInterval is the delay between retries of a failed write. If the node
+// leads, the others wait at most an election timeout for a new leader meanwhile.
 const diskRetryInterval = 100 * time.Millisecond
 
-// persistWithRetry is persist on a disk that may be full for a while. All steps
-// of persist may be repeated: they write the same bytes to the same places.
+// persistWithRetry calls persist, and retries it if RetryDisk is set, for example
+// while the disk is full. All steps of persist are idempotent: they write the same
+// bytes to the same positions.
 func (n *Node) persistWithRetry(rd consensus.Ready) error {
 	for {
 		err := n.persist(rd)
 		if err == nil || !n.cfg.RetryDisk {
 			return err
 		}
-		n.cfg.Logger.Error().Err(err).Msg("disk refuses the log; trying again")
+		n.cfg.Logger.Error().Err(err).Msg("write to the log failed; retrying")
 		select {
 		case <-n.stopped:
 			return err
@@ -178,8 +180,8 @@
 	}
 }
 
-// persist makes the durable part of rd durable, in the order that a crash in
-// between leaves a state the protocol allows.
+// persist writes the state in rd that must be durable, in an order that leaves
+// a valid state if the server crashes in between.
 func (n *Node) persist(rd consensus.Ready) error {
 	if rd.HardState != nil {
 		if err := n.store.SaveHardState(*rd.HardState); err != nil {
@@ -198,23 +200,23 @@
 		return nil
 	}
 	n.metrics.syncs.Inc()
-	began := time.Now()
+	start := time.Now()
 	err := n.store.Append(rd.Entries)
-	n.noteSync(time.Since(began))
+	n.recordSync(time.Since(start))
 	if err != nil {
 		return fmt.Errorf("append to log: %w", err)
 	}
 	return nil
 }
 
-// slowSync is from when a synced write is told in the log: half an election timeout
-// of 500 ms, beyond which others would stand for election.
+// slowSync is the duration from which on a synced write is logged as slow. It is half
+// an election timeout of 500 ms, after which other members start an election.
 const slowSync = 250 * time.Millisecond
 
-func (n *Node) noteSync(took time.Duration) {
-	n.metrics.syncSeconds.Observe(took.Seconds())
-	if took >= slowSync {
-		n.cfg.Logger.Warn().Dur("took_ms", took).Msg("disk is slow")
+func (n *Node) recordSync(duration time.Duration) {
+	n.metrics.syncSeconds.Observe(duration.Seconds())
+	if duration >= slowSync {
+		n.cfg.Logger.Warn().Dur("took_ms", duration).Msg("disk is slow")
 	}
 }
 
@@ -228,7 +230,8 @@
 	}
 }
 
-// saveSnapshot writes a snapshot beside the loop, which goes on meanwhile.
+// saveSnapshot writes a snapshot on a separate goroutine, so that it does not
+// block the event loop.
 func (n *Node) saveSnapshot(e snapshotTaken) {
 	snapshot, ok := n.core.SnapshotAt(e.index, e.data)
 	if !ok {
@@ -244,7 +247,7 @@
 
 func (n *Node) handleSnapshotSaved(e snapshotSaved) {
 	if e.err != nil && n.cfg.RetryDisk {
-		n.cfg.Logger.Error().Err(e.err).Msg("snapshot not saved; the log is kept")
+		n.cfg.Logger.Error().Err(e.err).Msg("snapshot not saved; log not compacted")
 		return
 	}
 	if e.err != nil {
@@ -255,7 +258,7 @@
 	n.core.Compact(e.snapshot)
 	err := n.store.Compact(e.snapshot.Index)
 	if err != nil && n.cfg.RetryDisk {
-		n.cfg.Logger.Error().Err(err).Msg("old log segments not removed; tried again with the next snapshot")
+		n.cfg.Logger.Error().Err(err).Msg("old log segments not removed; retrying after the next snapshot")
 		return
 	}
 	if err != nil {
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the counters of one node.
+// metrics are the metrics of one node.
 type metrics struct {
 	sent, sentBytes, wireBytes, received, dropped prometheus.Counter
 	connectionErrors, leaderChanges               prometheus.Counter
@@ -12,7 +12,8 @@
 	syncSeconds                                   prometheus.Histogram
 }
 
-// syncBuckets in seconds cover disks of 1 ms a sync and those that stall for seconds.
+// syncBuckets, in seconds, range from disks that sync in 1 ms to disks that stall for
+// seconds.
 var syncBuckets = []float64{0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5}
 
 func newMetrics() *metrics {
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -18,10 +18,11 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// eventQueue bounds the events waiting for the loop; senders wait beyond it.
-const eventQueue = 1024
+// eventQueueLen is the number of events that are queued for the event loop before
+// senders block.
+const eventQueueLen = 1024
 
-// storage is what is durable of a node; raftlog.Store is the one.
+// storage is the durable state of a node, implemented by raftlog.Store.
 type storage interface {
 	SaveHardState(consensus.HardState) error
 	SaveSnapshot(consensus.Snapshot) error
@@ -41,28 +42,28 @@
 	events    chan event
 	status    atomic.Pointer[Status]
 
-	// stopped is closed when the node stops, after a call of Stop or a fault.
+	// stopped is closed when the node stops, because of Stop or of a fatal error.
 	stopped  chan struct{}
 	stopOnce sync.Once
-	fault    atomic.Pointer[error]
+	fatalErr atomic.Pointer[error]
 	loopDone chan struct{}
-	// background counts the goroutines beside loop and peers.
+	// background counts the goroutines other than the event loop and the peers.
 	background sync.WaitGroup
 
-	// Below: owned by the event loop.
+	// The fields below are owned by the event loop.
 	core           *consensus.Core
 	now            uint64 // ticks
-	notLeaderSince uint64 // tick when last the leader
+	notLeaderSince uint64 // last tick as the leader
 	reads          map[uint64][]*read
 	readContext    uint64
 	contactTick    uint64    // tick of the last contact with a quorum
-	contactAt      time.Time // and its time: no ticks pass while the process is frozen
-	membersSeen    consensus.Membership
-	last           consensus.State
+	contactAt      time.Time // its time, since ticks do not advance while the process is suspended
+	lastMembers    consensus.Membership
+	lastState      consensus.State
 }
 
-// Start opens the data folder and joins the cluster. The node takes part once
-// the caller serves what Register adds.
+// Start opens the data folder and joins the cluster. Other members can reach the
+// node once the caller serves the service that Register adds.
 func Start(cfg Config, fsm FSM) (*Node, error) {
 	if err := cfg.complete(); err != nil {
 		return nil, err
@@ -101,7 +102,7 @@
 	}
 	n := &Node{
 		cfg: cfg, store: store, metrics: newMetrics(),
-		events: make(chan event, eventQueue), stopped: make(chan struct{}), loopDone: make(chan struct{}),
+		events: make(chan event, eventQueueLen), stopped: make(chan struct{}), loopDone: make(chan struct{}),
 		reads: map[uint64][]*read{}, readContext: random.Uint64(),
 	}
 	n.transport = newTransport(cfg.Peers, time.Duration(staleTimeouts*cfg.ElectionTicks)*cfg.TickInterval, n.metrics)
@@ -130,7 +131,7 @@
 	return rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:]))), nil
 }
 
-// complete checks the settings and fills in defaults.
+// complete validates the settings and fills in defaults.
 func (cfg *Config) complete() error {
 	if cfg.Name == "" || cfg.Addr == "" || cfg.Dir == "" {
 		return errors.New("replica: Name, Addr and Dir are required")
@@ -176,29 +177,29 @@
 	return rpc.DRPCRegisterReplication(mux, &receiver{node: n})
 }
 
-// Done is closed when the node has stopped; Err tells why.
+// Done returns a channel that is closed when the node stops; Err returns the reason.
 func (n *Node) Done() <-chan struct{} { return n.stopped }
 
-// Err returns the fault that stopped the node, nil if there was none.
+// Err returns the fatal error that stopped the node, or nil if there was none.
 func (n *Node) Err() error {
-	if err := n.fault.Load(); err != nil {
+	if err := n.fatalErr.Load(); err != nil {
 		return *err
 	}
 	return nil
 }
 
-// fail stops the node: it can not keep its promises any longer.
+// fail stops the node because it can no longer persist or apply its state.
 func (n *Node) fail(err error) {
-	n.fault.CompareAndSwap(nil, &err)
-	n.cfg.Logger.Error().Err(err).Msg("consensus stopped by a fault")
+	n.fatalErr.CompareAndSwap(nil, &err)
+	n.cfg.Logger.Error().Err(err).Msg("consensus stopped by a fatal error")
 	n.shutDown()
 }
 
 func (n *Node) shutDown() { n.stopOnce.Do(func() { close(n.stopped) }) }
 
-// Stop hands leadership over if this node holds it, and stops the node.
+// Stop transfers the leadership if this node is the leader, and stops the node.
 func (n *Node) Stop(ctx context.Context) error {
-	n.handOver(ctx)
+	n.transferLeadership(ctx)
 	n.shutDown()
 	<-n.loopDone
 	n.transport.close()
@@ -207,13 +208,13 @@
 	return n.store.Close()
 }
 
-// handOver returns when this node no longer leads and its proposals are
-// answered, or after two election timeouts.
-func (n *Node) handOver(ctx context.Context) {
+// transferLeadership returns when another node leads and the proposals of this node
+// are answered, or after pendingCallTimeouts election timeouts.
+func (n *Node) transferLeadership(ctx context.Context) {
 	if n.Status().Role != RoleLeader || len(n.Status().Members) < 2 {
 		return
 	}
-	limit := time.Duration(n.giveUpTicks()) * n.cfg.TickInterval
+	limit := time.Duration(n.pendingCallTicks()) * n.cfg.TickInterval
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	if err := n.post(ctx, transferEvent{}); err != nil {
@@ -236,7 +237,7 @@
 	}
 }
 
-// post hands an event to the loop.
+// post queues an event for the event loop.
 func (n *Node) post(ctx context.Context, e event) error {
 	select {
 	case n.events <- e:
--- a/internal/replica/reads.go
+++ b/internal/replica/reads.go
@@ -2,22 +2,22 @@
 
 import "lynxgate.dev/lynxgate/internal/consensus"
 
-// askReads starts one round of confirmation for all of reads.
-func (n *Node) askReads(reads []*read) {
+// requestReads requests one read index for all of reads.
+func (n *Node) requestReads(reads []*read) {
 	if len(reads) == 0 {
 		return
 	}
 	n.readContext++
 	for _, r := range reads {
-		r.asked = n.now
+		r.requestedAt = n.now
 	}
 	n.reads[n.readContext] = reads
-	// Without a leader the reads wait here, to be asked again by tickReads.
+	// Without a leader the reads stay pending, and retryReads requests them again.
 	_ = n.core.ReadIndex(n.readContext)
 }
 
-// answerReads hands confirmed indexes to the callers. Refused reads are asked
-// again at a later tick.
+// answerReads returns confirmed indexes to the callers. Rejected reads are retried
+// at a later tick.
 func (n *Node) answerReads(states []consensus.ReadState) {
 	for _, state := range states {
 		if state.Reject {
@@ -30,22 +30,22 @@
 	}
 }
 
-// tickReads asks reads again whose answer is overdue, and gives up those that
-// have waited for too long.
-func (n *Node) tickReads() {
-	var again []*read
+// retryReads requests a read index again for reads without an answer after
+// HeartbeatTicks, and fails the reads that have been pending for pendingCallTicks.
+func (n *Node) retryReads() {
+	var retries []*read
 	for context, reads := range n.reads {
-		if n.now-reads[0].asked < uint64(n.cfg.HeartbeatTicks) {
+		if n.now-reads[0].requestedAt < uint64(n.cfg.HeartbeatTicks) {
 			continue
 		}
 		delete(n.reads, context)
 		for _, r := range reads {
-			if n.now-r.begun > n.giveUpTicks() {
+			if n.now-r.startedAt > n.pendingCallTicks() {
 				r.done <- outcome{err: ErrNoQuorum}
 				continue
 			}
-			again = append(again, r)
+			retries = append(retries, r)
 		}
 	}
-	n.askReads(again)
+	n.requestReads(retries)
 }
--- a/internal/replica/receipts.go
+++ b/internal/replica/receipts.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// receipts tells for how long messages sent over one connection have waited for a sign
-// that they arrive. What their receiver sends over connections of its own tells nothing
-// of that: a connection may go silent one way.
+// receipts tracks the receipts for messages sent over one connection, to detect that they
+// no longer arrive. Messages that the receiver sends over its own connections are no
+// evidence of that, since packet loss may affect one connection or direction only.
 type receipts struct {
 	now func() time.Time
 
 	mu sync.Mutex
-	// open is the number of messages without a receipt; since is when the oldest of them
-	// was sent or the last receipt came, whichever was later.
-	open  int
-	since time.Time
+	// pending is the number of messages without a receipt. waitingSince is when the oldest
+	// of them was sent or the last receipt arrived, whichever was later.
+	pending      int
+	waitingSince time.Time
 }
 
-// sent notes that a message is about to be sent.
+// sent records that a message is about to be sent.
 func (r *receipts) sent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.open == 0 {
-		r.since = r.now()
+	if r.pending == 0 {
+		r.waitingSince = r.now()
 	}
-	r.open++
+	r.pending++
 }
 
-// arrived notes a receipt.
+// arrived records a receipt.
 func (r *receipts) arrived() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.open--
-	r.since = r.now()
+	r.pending--
+	r.waitingSince = r.now()
 }
 
-// waiting returns for how long nothing has moved; 0 if nothing is open. Its clock is
-// monotonic: steps of the time of day don't count.
+// waiting returns the time since waitingSince, or 0 if no receipt is pending. The clock
+// is monotonic, so steps of the wall clock have no effect.
 func (r *receipts) waiting() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.open == 0 {
+	if r.pending == 0 {
 		return 0
 	}
-	return r.now().Sub(r.since)
+	return r.now().Sub(r.waitingSince)
 }
--- a/internal/replica/rejoin_test.go
+++ b/internal/replica/rejoin_test.go
@@ -7,10 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server that comes back with an empty disk knows the servers of its settings only,
-// and so do those that it asks: a leader that was added later is known by the
-// membership alone.
-func TestWipedServerFindsALeaderThatNoSettingsName(t *testing.T) {
+// A server that restarts with an empty disk must join even if the leader was added later:
+// neither its settings nor those of the servers it asks contain the leader's address.
+func TestWipedServerJoinsThroughLeaderNotInSettings(t *testing.T) {
 	admit := func(cfg *Config) { cfg.AdmitNewcomers = true }
 	c := newCluster(t, 3, admit)
 	c.propose("one")
@@ -30,6 +29,6 @@
 	wiped.kill()
 	wiped.cfg.Dir, wiped.cfg.JoinOnly = t.TempDir(), true
 	c.start(wiped)
-	require.Eventually(t, func() bool { return wiped.node.Status().Role == RoleFollower }, waitLimit, tick)
+	require.Eventually(t, func() bool { return wiped.node.Status().Role == RoleFollower }, waitLimit, pollInterval)
 	c.requireVoters("c0", "c1", "c2", "c3", "c4")
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -18,8 +18,8 @@
 
 type assertT = assert.CollectT
 
-// tick is the time between looks at a condition.
-const tick = 5 * time.Millisecond
+// pollInterval is the polling interval for conditions.
+const pollInterval = 5 * time.Millisecond
 
 func TestReplicatesAndRestarts(t *testing.T) {
 	for _, size := range []int{1, 3} {
@@ -67,8 +67,8 @@
 	c.requireList("first")
 }
 
-// A follower whose disk is lost comes back under another incarnation, as a
-// learner first, and gets the whole state.
+// A follower that restarts with an empty disk must rejoin with a new incarnation, first
+// as a learner, and receive the whole state.
 func TestWipedFollowerIsRebuilt(t *testing.T) {
 	c := newCluster(t, 3, func(cfg *Config) { cfg.SnapshotEntries = 10 })
 	c.propose("one")
@@ -85,9 +85,9 @@
 	c.requireVoters("c0", "c1", "c2")
 	require.Eventually(t, func() bool {
 		return follower.node.Status().Role == RoleFollower
-	}, waitLimit, tick)
+	}, waitLimit, pollInterval)
 
-	// The next failure may come right after the repair.
+	// The cluster must tolerate another failure right after the rebuild.
 	c.leader().kill()
 	c.propose("after")
 	c.requireList("one", "b49", "after")
@@ -101,8 +101,9 @@
 	c.requireList("one", "two")
 }
 
-// Stop returns only when another server leads: nobody waits for a timeout.
-func TestStopHandsOver(t *testing.T) {
+// Stop must return only when another server leads, without waiting for an election
+// timeout.
+func TestStopTransfersLeadership(t *testing.T) {
 	c := newCluster(t, 3, func(cfg *Config) { cfg.ElectionTicks = 2000 })
 	c.propose("one")
 	c.requireList("one")
@@ -118,7 +119,7 @@
 	c.requireList("one", "two")
 }
 
-func TestLaggardGetsSnapshot(t *testing.T) {
+func TestLaggingFollowerInstallsSnapshot(t *testing.T) {
 	c := newCluster(t, 3, func(cfg *Config) { cfg.SnapshotEntries = 10 })
 	c.propose("one")
 	follower := c.follower()
@@ -130,7 +131,7 @@
 	c.requireList("one", "b99")
 	require.Positive(t, follower.counter("lynxgate_consensus_snapshots_installed_total"))
 
-	// What the follower had before is out of the way of its next start.
+	// The follower's log from before the snapshot must not prevent its next start.
 	c.propose("more")
 	c.requireList("one", "b99", "more")
 	follower.kill()
@@ -139,7 +140,7 @@
 	c.requireList("one", "b99", "more", "last")
 }
 
-func has(name string) func(members []Member) bool {
+func hasMember(name string) func(members []Member) bool {
 	return func(members []Member) bool {
 		return slices.ContainsFunc(members, func(m Member) bool { return m.Name == name })
 	}
@@ -149,7 +150,7 @@
 	c := newCluster(t, 3, nil)
 	c.propose("one")
 	added := c.add(Member{Name: "c3", Addr: reserveAddr(t)}, nil)
-	c.change(func(ctx context.Context, n *Node) error { return n.AddLearner(ctx, Member{Name: "c3"}) }, has("c3"))
+	c.change(func(ctx context.Context, n *Node) error { return n.AddLearner(ctx, Member{Name: "c3"}) }, hasMember("c3"))
 	c.change(func(ctx context.Context, n *Node) error { return n.Promote(ctx, Member{Name: "c3"}) }, func(members []Member) bool {
 		return slices.ContainsFunc(members, func(m Member) bool { return m.Name == "c3" && !m.Learner })
 	})
@@ -163,15 +164,15 @@
 		}
 	}
 	c.change(func(ctx context.Context, n *Node) error { return n.Remove(ctx, Member{Name: removed.cfg.Name}) }, func(members []Member) bool {
-		return !has(removed.cfg.Name)(members)
+		return !hasMember(removed.cfg.Name)(members)
 	})
 	removed.kill()
-	require.Eventually(t, func() bool { return len(c.leader().node.Status().Members) == 3 }, waitLimit, tick)
+	require.Eventually(t, func() bool { return len(c.leader().node.Status().Members) == 3 }, waitLimit, pollInterval)
 	c.propose("two")
 	c.requireList("one", "two")
 }
 
-func TestReadIndexFollowsProposals(t *testing.T) {
+func TestReadIndexCoversAcceptedProposals(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
@@ -187,8 +188,8 @@
 	}
 }
 
-// A server without a majority refuses changes and reads, and accepts nothing.
-func TestMinorityRefuses(t *testing.T) {
+// A server without a majority must reject proposals and reads.
+func TestMinorityRejectsProposalsAndReads(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.propose("one")
 	leader := c.leader()
@@ -197,7 +198,7 @@
 			s.kill()
 		}
 	}
-	require.Eventually(t, func() bool { return leader.node.Status().Role != RoleLeader }, waitLimit, tick)
+	require.Eventually(t, func() bool { return leader.node.Status().Role != RoleLeader }, waitLimit, pollInterval)
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	_, err := leader.node.Propose(ctx, []byte("two"))
@@ -206,7 +207,8 @@
 	require.ErrorIs(t, err, ErrNoQuorum)
 }
 
-// The damaged log of a stopped server: where the damage is tells what happens.
+// Damage in the last synced write must make a server rejoin with a new incarnation; damage
+// before it must prevent the start until the data folder is wiped.
 func TestDamagedLog(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	for i := range 10 {
@@ -220,7 +222,7 @@
 	data, err := os.ReadFile(path)
 	require.NoError(t, err)
 
-	// In the last synced write: cut off, and the server joins anew.
+	// Damage in the last synced write.
 	data[len(data)-1] ^= 1
 	require.NoError(t, os.WriteFile(path, data, 0o600))
 	c.start(follower)
@@ -229,7 +231,7 @@
 	c.requireList("a9", "b")
 	c.requireVoters("c0", "c1", "c2")
 
-	// Before it: the server refuses to start until its folder is wiped.
+	// Damage before the last synced write.
 	follower.kill()
 	data, err = os.ReadFile(path)
 	require.NoError(t, err)
--- a/internal/replica/silent_test.go
+++ b/internal/replica/silent_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// silentTick is long enough that a busy machine leaves no gap of three election timeouts
-// in what a server says by itself; such a gap would hide a connection that is kept.
+// silentTick is long enough that a server on a busy machine never pauses its messages for
+// three election timeouts; such a pause would hide that a silent connection is kept.
 const silentTick = 40 * time.Millisecond
 
-// Connections to a follower that go silent for good are replaced, though the follower
-// itself, over connections of its own, is heard all the time.
-func TestConnectionsThatGoSilentOneWayAreReplaced(t *testing.T) {
-	c, relays := relayed(t, func(cfg *Config) { cfg.TickInterval, cfg.RetireAfter = silentTick, time.Hour })
+// Connections to a follower that discard all data must be replaced, even though the
+// follower's own messages keep arriving over other connections.
+func TestOneWaySilentConnectionsAreReplaced(t *testing.T) {
+	c, relays := newRelayedCluster(t, func(cfg *Config) { cfg.TickInterval, cfg.RetireAfter = silentTick, time.Hour })
 	c.propose("one")
 	c.requireList("one")
 	leader := c.leader()
 	for name, relay := range relays {
 		if name != leader.cfg.Name {
-			relay.silence()
+			relay.silenceOpenConns()
 			break
 		}
 	}
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -14,11 +14,11 @@
 	return status
 }
 
-// publish makes the state of the core visible to other goroutines, and logs
+// publish makes the state of the core available to other goroutines, and logs
 // and counts its changes.
 func (n *Node) publish() {
 	state := n.core.State()
-	n.learnMembers(state.Members)
+	n.updateAddrs(state.Members)
 	status := &Status{
 		Name: state.ID.Name, Incarnation: state.ID.Incarnation,
 		Role: roleOf(state), Term: state.Term,
@@ -31,11 +31,11 @@
 	}
 	status.LastQuorumContact = n.contactAt
 	n.status.Store(status)
-	n.note(state)
+	n.recordState(state)
 }
 
-// note logs and counts changes of leader and membership.
-func (n *Node) note(state consensus.State) {
+// recordState updates the metrics of a state, and logs changes of leader and membership.
+func (n *Node) recordState(state consensus.State) {
 	n.metrics.term.Set(float64(state.Term))
 	n.metrics.commitIndex.Set(float64(state.Commit))
 	leading := 0.0
@@ -43,27 +43,27 @@
 		leading = 1
 	}
 	n.metrics.isLeader.Set(leading)
-	if state.Leader != n.last.Leader {
+	if state.Leader != n.lastState.Leader {
 		if !state.Leader.IsZero() {
 			n.metrics.leaderChanges.Inc()
 		}
 		n.cfg.Logger.Info().Str("server", state.ID.Name).Str("leader", state.Leader.Name).
 			Uint64("term", state.Term).Msg("leader changed")
 	}
-	if !slices.Equal(state.Members, n.last.Members) {
+	if !slices.Equal(state.Members, n.lastState.Members) {
 		n.cfg.Logger.Info().Str("server", state.ID.Name).Interface("members", membersOf(state.Members)).
 			Msg("membership changed")
 	}
-	n.last = state
+	n.lastState = state
 }
 
-func (n *Node) learnMembers(members consensus.Membership) {
-	if slices.Equal(members, n.membersSeen) {
+func (n *Node) updateAddrs(members consensus.Membership) {
+	if slices.Equal(members, n.lastMembers) {
 		return
 	}
-	n.membersSeen = members
+	n.lastMembers = members
 	for _, m := range members {
-		n.transport.learn(m.ID, m.Addr)
+		n.transport.setAddr(m.ID, m.Addr)
 	}
 }
 
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -15,35 +15,38 @@
 )
 
 const (
-	// peerQueue bounds the messages waiting for one peer; more are dropped,
-	// which the protocol repairs.
-	peerQueue = 256
-	// redialPause is the pause after a failed try.
-	redialPause = 100 * time.Millisecond
-	// staleTimeouts is for how many election timeouts a connection is trusted
-	// without a receipt for what was sent over it: after a silent cut, TCP alone
-	// would take minutes.
+	// peerQueueLen is the number of messages queued for one peer. Further ones are
+	// dropped, which the protocol tolerates.
+	peerQueueLen = 256
+	// redialDelay is the delay before the next connection after a failed one.
+	redialDelay = 100 * time.Millisecond
+	// staleTimeouts is the number of election timeouts without an expected receipt after
+	// which a connection is replaced. TCP alone would detect a network partition only
+	// after minutes.
 	staleTimeouts = 3
-	// peerIdle is after how long without a message a peer is forgotten.
-	peerIdle = time.Minute
+	// peerIdleTimeout is the time without a message to a peer after which its connection
+	// is closed.
+	peerIdleTimeout = time.Minute
 )
 
-// transport sends messages over one stream per peer. send and sweep are
-// called by the event loop only.
+// transport sends messages over one stream per peer. Only the event loop calls
+// send, setAddr and closeIdlePeers.
 type transport struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
 	metrics *metrics
-	// now is the clock; it has a monotonic part.
+	// now returns the current time with a monotonic clock reading.
 	now func() time.Time
-	// staleAfter is how long a connection is trusted without a receipt.
+	// staleAfter is the time without an expected receipt after which a connection is
+	// replaced.
 	staleAfter time.Duration
 	peers      map[consensus.ServerID]*peer
 
-	// names and ids hold addresses by name and by identity: from the membership, from
-	// servers that ask to join, and, by name, from the settings at first. Messages go
-	// to a name where the incarnation is not known: a hello passed on to a leader.
+	// names and ids map server names and server IDs to addresses. The addresses come from
+	// the membership, from servers that ask to join, and initially, by name, from the
+	// settings. names is used for messages to a server of unknown incarnation, as when a
+	// hello is forwarded to a leader.
 	names map[string]string
 	ids   map[consensus.ServerID]string
 }
@@ -74,8 +77,8 @@
 	t.done.Wait()
 }
 
-// learn notes the address of a server.
-func (t *transport) learn(id consensus.ServerID, addr string) {
+// setAddr records the address of a server.
+func (t *transport) setAddr(id consensus.ServerID, addr string) {
 	if addr != "" {
 		t.ids[id] = addr
 		t.names[id.Name] = addr
@@ -113,7 +116,7 @@
 
 func (t *transport) startPeer(id consensus.ServerID, addr string) *peer {
 	ctx, cancel := context.WithCancel(t.ctx)
-	p := &peer{addr: addr, queue: make(chan consensus.Message, peerQueue), cancel: cancel}
+	p := &peer{addr: addr, queue: make(chan consensus.Message, peerQueueLen), cancel: cancel}
 	t.peers[id] = p
 	t.done.Add(1)
 	go func() {
@@ -123,19 +126,19 @@
 	return p
 }
 
-// sweep forgets peers that nothing was sent to for a while.
-func (t *transport) sweep(now time.Time) {
+// closeIdlePeers removes peers without a message for peerIdleTimeout.
+func (t *transport) closeIdlePeers(now time.Time) {
 	for id, p := range t.peers {
-		if now.Sub(p.lastSend) > peerIdle {
+		if now.Sub(p.lastSend) > peerIdleTimeout {
 			p.cancel()
 			delete(t.peers, id)
 		}
 	}
 }
 
-// runPeer connects, sends what is queued, and connects again after an error.
+// runPeer connects to a peer, sends queued messages, and reconnects after an error.
 func (t *transport) runPeer(ctx context.Context, queue <-chan consensus.Message, addr string) {
-	failed := 0
+	failures := 0
 	var unsent *consensus.Message
 	for ctx.Err() == nil {
 		var first consensus.Message
@@ -148,10 +151,10 @@
 				return
 			}
 		}
-		conn, err := t.dial(ctx, addr, rpcconn.RedialTimeout(failed))
-		failed++
+		conn, err := t.dial(ctx, addr, rpcconn.RedialTimeout(failures))
+		failures++
 		if err == nil {
-			failed = 0
+			failures = 0
 			unsent, err = t.stream(ctx, conn, first, queue)
 		}
 		if err == nil {
@@ -159,7 +162,7 @@
 		}
 		t.metrics.connectionErrors.Inc()
 		select {
-		case <-time.After(redialPause):
+		case <-time.After(redialDelay):
 		case <-ctx.Done():
 		}
 	}
@@ -173,8 +176,8 @@
 	return rpcconn.NewConn(&meteredConn{Conn: raw, writeTimeout: t.staleAfter, metrics: t.metrics}), nil
 }
 
-// stream sends messages over one connection until it fails or goes stale, and closes
-// it. The message that was to be sent over a stale one is returned.
+// stream sends messages over one connection until it fails or becomes stale, and closes
+// it. If it is stale, stream returns the next message, which was not sent.
 func (t *transport) stream(ctx context.Context, conn *rpcconn.Conn, m consensus.Message, queue <-chan consensus.Message) (unsent *consensus.Message, err error) {
 	defer conn.Close()
 	client, err := rpc.NewDRPCReplicationClient(conn).Messages(ctx)
@@ -187,7 +190,7 @@
 		defer t.done.Done()
 		for {
 			if _, err := client.Recv(); err != nil {
-				return // sending fails, too, or the connection goes stale
+				return // the next send fails, or the connection becomes stale
 			}
 			r.arrived()
 		}
@@ -210,22 +213,22 @@
 }
 
 func (t *transport) sendOne(client rpc.DRPCReplication_MessagesClient, m consensus.Message, r *receipts) error {
-	pieces, err := encodeMessage(m)
+	chunks, err := encodeMessage(m)
 	if err != nil {
 		return err
 	}
-	for _, piece := range pieces {
+	for _, chunk := range chunks {
 		r.sent()
-		if err := client.Send(piece); err != nil {
+		if err := client.Send(chunk); err != nil {
 			return err
 		}
 		t.metrics.sent.Inc()
-		t.metrics.sentBytes.Add(float64(proto.Size(piece)))
+		t.metrics.sentBytes.Add(float64(proto.Size(chunk)))
 	}
 	return nil
 }
 
-// meteredConn bounds each write and counts bytes on the connection.
+// meteredConn sets a deadline for each write and counts the bytes written.
 type meteredConn struct {
 	net.Conn
 	writeTimeout time.Duration
@@ -246,7 +249,7 @@
 	node *Node
 }
 
-// Messages takes one peer's messages in, and gives a receipt for each piece.
+// Messages receives the messages of one peer, and sends a receipt for each chunk.
 func (r *receiver) Messages(stream rpc.DRPCReplication_MessagesStream) error {
 	var d decoder
 	for {
@@ -254,14 +257,14 @@
 		if err != nil {
 			return err
 		}
-		m, whole, err := d.decode(in)
+		m, complete, err := d.decode(in)
 		if err != nil {
 			return err
 		}
 		if err := stream.Send(&rpc.RaftReceipt{}); err != nil {
 			return err
 		}
-		if !whole {
+		if !complete {
 			continue
 		}
 		r.node.metrics.received.Inc()
--- a/internal/replica/transport_test.go
+++ b/internal/replica/transport_test.go
@@ -15,21 +15,21 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// arrival is one message, with the number of the connection that it came over.
+// arrival is a received message and the number of its connection.
 type arrival struct {
 	conn int
 	term uint64
 }
 
-// sink takes messages in, and gives receipts unless it is told not to. One connection is
-// open at a time.
-type sink struct {
-	conns    int
-	arrivals chan arrival
-	silent   atomic.Bool
+// messageRecorder receives messages, and sends receipts unless noReceipts is set. At most
+// one connection may be open at a time.
+type messageRecorder struct {
+	conns      int
+	arrivals   chan arrival
+	noReceipts atomic.Bool
 }
 
-func (s *sink) Messages(stream rpc.DRPCReplication_MessagesStream) error {
+func (s *messageRecorder) Messages(stream rpc.DRPCReplication_MessagesStream) error {
 	s.conns++
 	conn := s.conns
 	for {
@@ -37,7 +37,7 @@
 		if err != nil {
 			return err
 		}
-		if !s.silent.Load() {
+		if !s.noReceipts.Load() {
 			if err := stream.Send(&rpc.RaftReceipt{}); err != nil {
 				return err
 			}
@@ -46,13 +46,12 @@
 	}
 }
 
-// A connection is opened anew, and the message that waits is not lost with it, once
-// receipts for what was sent over it are overdue.
+// A connection with overdue receipts must be replaced without losing the next message.
 func TestConnectionWithoutReceiptsIsReplaced(t *testing.T) {
 	const staleAfter = 50 * time.Millisecond
-	received := &sink{arrivals: make(chan arrival, 16)}
+	recorder := &messageRecorder{arrivals: make(chan arrival, 16)}
 	mux := drpcmux.New()
-	require.NoError(t, rpc.DRPCRegisterReplication(mux, received))
+	require.NoError(t, rpc.DRPCRegisterReplication(mux, recorder))
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -68,21 +67,21 @@
 	send := func(term uint64) arrival {
 		transport.send(consensus.Message{Kind: consensus.KindHeartbeat, To: consensus.ServerID{Name: "peer"}, Term: term}, time.Now())
 		select {
-		case a := <-received.arrivals:
+		case a := <-recorder.arrivals:
 			return a
 		case <-time.After(waitLimit):
-			t.Fatal("nothing arrived")
+			t.Fatal("no message arrived")
 		}
 		return arrival{}
 	}
 
 	require.Equal(t, arrival{conn: 1, term: 1}, send(1))
 	time.Sleep(2 * staleAfter)
-	require.Equal(t, arrival{conn: 1, term: 2}, send(2), "nothing is due")
-	received.silent.Store(true)
+	require.Equal(t, arrival{conn: 1, term: 2}, send(2), "no receipt is pending")
+	recorder.noReceipts.Store(true)
 	require.Equal(t, arrival{conn: 1, term: 3}, send(3))
 	time.Sleep(2 * staleAfter)
-	received.silent.Store(false)
+	recorder.noReceipts.Store(false)
 	require.Equal(t, arrival{conn: 2, term: 4}, send(4))
 	require.Equal(t, arrival{conn: 2, term: 5}, send(5))
 }
--- a/internal/replica/wire.go
+++ b/internal/replica/wire.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// snapshotPieceBytes is the size of the pieces a snapshot is sent in.
-	snapshotPieceBytes = 256 << 10
-	// maxSnapshotBytes bounds what a receiver puts together.
+	// snapshotChunkBytes is the size of the chunks in which a snapshot is sent.
+	snapshotChunkBytes = 256 << 10
+	// maxSnapshotBytes limits the size of a snapshot that a receiver assembles.
 	maxSnapshotBytes = 1 << 30
 )
 
 var errSnapshotTooLarge = errors.New("snapshot is too large")
 
-// encodeMessage returns the messages to send, more than one only for a
-// snapshot that is larger than a piece.
+// encodeMessage returns the encoded form of a message: several chunks for a
+// snapshot larger than snapshotChunkBytes, otherwise one.
 func encodeMessage(m consensus.Message) ([]*rpc.RaftMessage, error) {
 	out := &rpc.RaftMessage{
 		Kind: uint32(m.Kind), From: raftlog.ServerIDToProto(m.From), To: raftlog.ServerIDToProto(m.To),
@@ -36,23 +36,23 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode snapshot: %w", err)
 	}
-	var pieces []*rpc.RaftMessage
-	for len(data) > snapshotPieceBytes {
-		pieces = append(pieces, &rpc.RaftMessage{
-			Kind: out.Kind, From: out.From, To: out.To, Snapshot: data[:snapshotPieceBytes], SnapshotMore: true,
+	var chunks []*rpc.RaftMessage
+	for len(data) > snapshotChunkBytes {
+		chunks = append(chunks, &rpc.RaftMessage{
+			Kind: out.Kind, From: out.From, To: out.To, Snapshot: data[:snapshotChunkBytes], SnapshotMore: true,
 		})
-		data = data[snapshotPieceBytes:]
+		data = data[snapshotChunkBytes:]
 	}
 	out.Snapshot = data
-	return append(pieces, out), nil
+	return append(chunks, out), nil
 }
 
-// decoder puts the messages of one stream together.
+// decoder assembles the messages of one stream from their chunks.
 type decoder struct {
 	snapshot []byte
 }
 
-// decode returns the next whole message; false if more pieces are to come.
+// decode returns the next complete message, or false if it has more chunks.
 func (d *decoder) decode(in *rpc.RaftMessage) (consensus.Message, bool, error) {
 	if len(d.snapshot)+len(in.GetSnapshot()) > maxSnapshotBytes {
 		return consensus.Message{}, false, errSnapshotTooLarge
@@ -82,7 +82,8 @@
 	return m, true, validate(m)
 }
 
-// validate refuses what no server sends and the core does not expect.
+// validate rejects messages that no correct server sends and that the core does
+// not check for.
 func validate(m consensus.Message) error {
 	for i, e := range m.Entries {
 		if e.Index != m.Index+1+uint64(i) || e.Term > m.Term {
--- a/internal/replica/wire_test.go
+++ b/internal/replica/wire_test.go
@@ -36,27 +36,28 @@
 
 func TestMessageRoundTrip(t *testing.T) {
 	for _, want := range sampleMessages {
-		pieces, err := encodeMessage(want)
+		chunks, err := encodeMessage(want)
 		require.NoError(t, err)
 		var d decoder
-		for i, piece := range pieces {
-			require.Less(t, proto.Size(piece), 1<<20)
-			got, whole, err := d.decode(piece)
+		for i, chunk := range chunks {
+			require.Less(t, proto.Size(chunk), 1<<20)
+			got, complete, err := d.decode(chunk)
 			require.NoError(t, err)
-			require.Equal(t, i == len(pieces)-1, whole)
-			if whole {
+			require.Equal(t, i == len(chunks)-1, complete)
+			if complete {
 				require.Equal(t, want, got)
 			}
 		}
 	}
 }
 
-// FuzzMessage requires that no message from the network breaks a server.
+// FuzzMessage requires that no message from the network makes the core panic or loop
+// forever.
 func FuzzMessage(f *testing.F) {
 	for _, m := range sampleMessages {
-		pieces, err := encodeMessage(m)
+		chunks, err := encodeMessage(m)
 		require.NoError(f, err)
-		data, err := proto.Marshal(pieces[len(pieces)-1])
+		data, err := proto.Marshal(chunks[len(chunks)-1])
 		require.NoError(f, err)
 		f.Add(data)
 	}
@@ -66,8 +67,8 @@
 			return
 		}
 		var d decoder
-		m, whole, err := d.decode(&in)
-		if err != nil || !whole {
+		m, complete, err := d.decode(&in)
+		if err != nil || !complete {
 			return
 		}
 		core := consensus.New(consensus.Config{
@@ -79,7 +80,7 @@
 		for range 2 {
 			core.Step(m)
 			for i := 0; core.HasReady(); i++ {
-				require.Less(t, i, 100, "never done: %v", core)
+				require.Less(t, i, 100, "Ready does not end: %v", core)
 				core.Ready()
 				core.Advance()
 			}
@@ -88,8 +89,9 @@
 	})
 }
 
-// brokenStore returns a node whose log can no longer be written.
-func brokenStore(t *testing.T) *Node {
+// newNodeWithoutLoop returns a node whose event loop has stopped, so that a test can drive
+// its core. Its storage is still open.
+func newNodeWithoutLoop(t *testing.T) *Node {
 	cfg := Config{Name: "b", Addr: "127.0.0.1:1", Dir: t.TempDir(), Peers: []Member{{Name: "a", Addr: "127.0.0.1:1"}, {Name: "b"}}}
 	node, err := Start(cfg, &listFSM{})
 	require.NoError(t, err)
@@ -98,16 +100,16 @@
 	return node
 }
 
-// Nothing that depends on a sync may leave when the sync has failed.
+// A message that depends on a sync must not be sent if the sync failed.
 func TestNoMessageWithoutSync(t *testing.T) {
-	node := brokenStore(t)
+	node := newNodeWithoutLoop(t)
 	self := node.core.State().ID
 	founding := consensus.Snapshot{Index: 1, Term: 1, Membership: consensus.Membership{{ID: idA, Addr: "127.0.0.1:1"}, {ID: self}}}
 	node.core.Step(consensus.Message{Kind: consensus.KindFound, From: idA, To: self, Snapshot: &founding})
 	require.NoError(t, node.processReady())
 	sent := len(node.transport.peers)
 	clear(node.transport.peers)
-	require.Positive(t, sent, "the sync worked, and the reply left")
+	require.Positive(t, sent, "the reply must be sent after a successful sync")
 
 	require.NoError(t, node.store.Close())
 	node.core.Step(consensus.Message{
@@ -115,6 +117,6 @@
 		Entries: []consensus.Entry{{Index: 2, Term: 1}},
 	})
 	require.Error(t, node.processReady())
-	require.Empty(t, node.transport.peers, "acknowledged what was not synced")
+	require.Empty(t, node.transport.peers, "the entry must not be acknowledged without a sync")
 	node.transport.close()
 }
