--- a/internal/keyspace/history.go
+++ b/internal/keyspace/history.go
@@ -1,14 +1,14 @@
 package keyspace
 
-// Delta takes a view from revision From to revision To. Changes hold the last
-// value of every key changed in between.
+// Delta is the difference between the views at revisions From and To. Changes
+// holds the value at To of every key changed in between.
 type Delta struct {
 	From, To uint64
 	Changes  []*Entry
 }
 
-// History keeps the latest deltas, bounded by number and bytes. Not safe for
-// concurrent use.
+// History keeps the latest deltas, bounded by number and bytes. It is not safe
+// for concurrent use.
 type History struct {
 	maxDeltas int
 	maxBytes  int
@@ -16,14 +16,14 @@
 	deltas    []Delta
 }
 
-// NewHistory makes a history that keeps at most maxDeltas deltas of together
-// maxBytes bytes.
+// NewHistory returns an empty history that keeps at most maxDeltas deltas and at
+// most maxBytes bytes in total.
 func NewHistory(maxDeltas, maxBytes int) *History {
 	return &History{maxDeltas: maxDeltas, maxBytes: maxBytes}
 }
 
-// Append adds the newest delta. A delta that does not continue the newest one
-// clears what came before it.
+// Append adds d as the newest delta. If d does not start where the newest delta
+// ends, the older deltas are dropped.
 func (h *History) Append(d Delta) {
 	if n := len(h.deltas); n > 0 && h.deltas[n-1].To != d.From {
 		h.Reset()
@@ -35,18 +35,19 @@
 	}
 }
 
-// Reset forgets everything.
+// Reset drops all deltas.
 func (h *History) Reset() {
 	h.deltas = nil
 	h.bytes = 0
 }
 
-// Len is the number of deltas kept.
+// Len returns the number of deltas kept.
 func (h *History) Len() int { return len(h.deltas) }
 
-// Since returns the merged changes that bring a view at revision to the newest
-// one, or false when the history does not reach back that far. A delta that
-// began before revision is included whole: its values are final ones.
+// Since returns the merged changes from revision to the newest revision, or false
+// if the history does not reach back to revision. A delta that starts before
+// revision and ends after it is included whole, since it holds the values at
+// its end.
 func (h *History) Since(revision uint64) ([]*Entry, bool) {
 	if len(h.deltas) == 0 || h.deltas[0].From > revision {
 		return nil, false
@@ -77,7 +78,8 @@
 	return n
 }
 
-// Diff returns the changes that lead from view a to view b, with tombstones.
+// Diff returns the changes from view a to view b, with a tombstone for every key
+// that b lacks.
 func Diff(a, b *View) []*Entry {
 	var changes []*Entry
 	i := 0
--- a/internal/keyspace/keyspace.go
+++ b/internal/keyspace/keyspace.go
@@ -1,10 +1,9 @@
 // Package keyspace holds the configuration as processes read it: a sorted,
 // immutable set of keys at one revision.
 //
-// State: none; a View never changes after it has been made. Apply and the
-// With functions return new views that share entries with the old one, so
-// that a change costs one copy of the slice of pointers and traffic goroutines
-// may read a view without a lock.
+// State: none; a View is immutable. Apply returns a new view that shares entries
+// with the old one, so that a change copies only the slice of pointers and
+// goroutines that serve requests can read a view without a lock.
 package keyspace
 
 import (
@@ -21,10 +20,11 @@
 	Deleted  bool
 }
 
-// size is the approximate memory of an entry in bytes.
+// size returns the approximate memory use of an entry in bytes.
 func (e *Entry) size() int { return len(e.Key) + len(e.Value) + entryOverhead }
 
-// entryOverhead is the fixed cost of one entry in bytes: struct and pointer.
+// entryOverhead is the approximate size of the struct and pointer of one entry,
+// in bytes.
 const entryOverhead = 64
 
 // View is the key space at one revision. The zero View is empty, at
@@ -34,7 +34,8 @@
 	entries  []*Entry
 }
 
-// NewView makes a view from entries in any order. The view keeps the entries.
+// NewView returns a view of entries, which may be in any order. The view keeps
+// the pointers; the caller must not modify the entries afterwards.
 func NewView(revision uint64, entries []*Entry) *View {
 	sorted := make([]*Entry, len(entries))
 	copy(sorted, entries)
@@ -42,13 +43,13 @@
 	return &View{revision: revision, entries: sorted}
 }
 
-// Revision is the revision the view stands at.
+// Revision returns the revision of the view.
 func (v *View) Revision() uint64 { return v.revision }
 
-// Len is the number of keys.
+// Len returns the number of keys.
 func (v *View) Len() int { return len(v.entries) }
 
-// Entries returns all entries in the order of their keys; not to be changed.
+// Entries returns all entries, sorted by key. The caller must not modify them.
 func (v *View) Entries() []*Entry { return v.entries }
 
 // Get returns the entry of key, or nil.
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// Prefix returns the entries whose keys begin with prefix, in order; not to
-// be changed.
+// Prefix returns the entries whose keys begin with prefix, sorted by key. The
+// caller must not modify them.
 func (v *View) Prefix(prefix string) []*Entry {
 	lo := v.search(prefix)
 	rest := v.entries[lo:]
@@ -69,7 +70,8 @@
 	return rest[:n]
 }
 
-// Select returns the entries under any of the prefixes; no prefixes means all.
+// Select returns the entries that Matches accepts, sorted by key. The caller must
+// not modify them.
 func (v *View) Select(prefixes []string) []*Entry {
 	if len(prefixes) == 0 {
 		return v.entries
@@ -83,8 +85,8 @@
 	return out
 }
 
-// Matches reports whether key lies under one of the prefixes; no prefixes
-// match every key.
+// Matches reports whether key begins with one of the prefixes. An empty list
+// matches every key.
 func Matches(key string, prefixes []string) bool {
 	if len(prefixes) == 0 {
 		return true
@@ -97,7 +99,7 @@
 	return false
 }
 
-// Apply returns the view at revision with changes put or deleted.
+// Apply returns a view at revision with the changes applied to v.
 func (v *View) Apply(revision uint64, changes []*Entry) *View {
 	if len(changes) == 0 {
 		return &View{revision: revision, entries: v.entries}
@@ -125,7 +127,7 @@
 	return sort.Search(len(v.entries), func(i int) bool { return v.entries[i].Key >= key })
 }
 
-// lastPerKey sorts changes by key and keeps the last one of each key.
+// lastPerKey sorts changes by key and keeps only the last change of each key.
 func lastPerKey(changes []*Entry) []*Entry {
 	sorted := make([]*Entry, len(changes))
 	copy(sorted, changes)
--- a/internal/keyspace/keyspace_test.go
+++ b/internal/keyspace/keyspace_test.go
@@ -10,7 +10,7 @@
 	_ "lynxgate.dev/lynxgate/internal/testseed" // the same schedules every run
 )
 
-// content is a view as a plain map, for comparison.
+// content maps each key of a view to its value and revision, for comparison.
 func content(v *View) map[string]string {
 	out := make(map[string]string)
 	for _, e := range v.Entries() {
@@ -32,8 +32,8 @@
 	return changes
 }
 
-// TestDeltasLeadToTheView checks views against a map, and that a delta from any
-// revision that the history reaches, or a diff, leads to the newest view.
+// TestDeltasLeadToTheView compares views with a plain map, and checks that
+// applying the history's changes or a diff to any older view gives the newest.
 func TestDeltasLeadToTheView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := map[string]string{}
@@ -57,7 +57,7 @@
 		for have, old := range views {
 			require.Equal(t, model, content(old.Apply(newest.Revision(), Diff(old, newest))))
 			changes, ok := history.Since(uint64(have))
-			require.Equal(t, have >= 20-history.Len(), ok, "the history reaches back as far as it is long")
+			require.Equal(t, have >= 20-history.Len(), ok, "the history covers one revision per delta")
 			if ok {
 				require.Equal(t, model, content(old.Apply(newest.Revision(), changes)))
 			}
@@ -74,9 +74,9 @@
 	}
 	require.Less(t, h.Len(), 10)
 	h.Append(Delta{From: 100, To: 101, Changes: []*Entry{{Key: "k", Value: make([]byte, 2000)}}})
-	require.Zero(t, h.Len(), "one delta above the bound is not kept")
+	require.Zero(t, h.Len(), "a delta larger than the bound is not kept")
 	h.Append(Delta{From: 5, To: 6})
 	h.Append(Delta{From: 8, To: 9})
 	_, ok := h.Since(5)
-	require.False(t, ok, "no delta over a gap")
+	require.False(t, ok, "no changes across a gap")
 }
--- a/internal/keyspace/typed.go
+++ b/internal/keyspace/typed.go
@@ -2,9 +2,9 @@
 
 import "encoding/json"
 
-// Lookup decodes the record under key. It returns false when there is none,
-// or one that does not decode: records are checked before they are accepted,
-// so that is one of a newer release.
+// Lookup decodes the record at key. It returns false if there is none or if it
+// does not decode. Records are validated before they are accepted, so one that
+// does not decode was written by a newer release.
 func Lookup[T any](v *View, key string) (T, bool) {
 	var record T
 	entry := v.Get(key)
@@ -17,8 +17,8 @@
 	return record, true
 }
 
-// List decodes the records under prefix, in the order of their keys, leaving
-// out those that do not decode.
+// List decodes the records under prefix, sorted by key, and skips those that do
+// not decode.
 func List[T any](v *View, prefix string) []T {
 	entries := v.Prefix(prefix)
 	records := make([]T, 0, len(entries))
