--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,10 +1,10 @@
-// Package registry keeps what the leader of the control servers knows about
-// the running daemons: their leases, the revision each has in force and the
-// replicas they report.
+// Package registry tracks the running daemons for the leader of the control
+// servers: their leases, the revision each has in force and the replicas they
+// report.
 //
-// State: soft, in memory of the leader only; a new leader builds it again from
-// the announcements that follow within one lease. Every method is a pure step:
-// it depends on the registry and its arguments, the time among them.
+// State: soft, in the leader's memory only; a new leader rebuilds it from the
+// announcements of the first lease of its term. Methods depend only on the
+// registry and their arguments, which include the time.
 //
 // Messages: Announcement in; Decision and expired members out, which the
 // control server turns into proposals to the log.
@@ -18,7 +18,7 @@
 	"lynxgate.dev/lynxgate/internal/placement"
 )
 
-// Role tells daemons apart.
+// Role is the kind of a daemon.
 type Role string
 
 // The roles of a daemon.
@@ -28,7 +28,7 @@
 	RoleAgent   Role = "agent"
 )
 
-// Replica is the state of one model version on one VM, as its agent reports it.
+// Replica is the state of one model version on one VM, as reported by its agent.
 type Replica struct {
 	Model       string
 	Version     string
@@ -40,7 +40,8 @@
 	Error       string
 }
 
-// Announcement is what a daemon says of itself.
+// Announcement is a daemon's description of itself, sent at intervals to renew
+// its lease and at once after a change.
 type Announcement struct {
 	Name          string
 	Role          Role
@@ -57,7 +58,7 @@
 	Replicas      []Replica
 }
 
-// Member is the record of an announced agent.
+// Member returns the record that an agent's announcement asks for.
 func (a *Announcement) Member() inventory.Member {
 	state := inventory.MemberUp
 	if a.Leaving {
@@ -76,64 +77,68 @@
 	}
 }
 
-// Daemon is an announced daemon.
+// Daemon is a daemon's newest announcement and when it was received.
 type Daemon struct {
 	Announcement
 	LastSeen time.Time
 }
 
-// Config holds the times of a registry.
+// Config configures a Registry.
 type Config struct {
-	// Lease is how long a daemon counts as up after its last announcement. A
-	// new leader gives every member one lease to announce itself.
+	// Lease is how long a daemon counts as up after its last announcement. Under
+	// a new leader every member has one lease to announce itself.
 	Lease time.Duration
-	// ForgetAfter is how long a member is down before its record is removed.
+	// ForgetAfter is how long a member must be down before its record is removed.
 	ForgetAfter time.Duration
 }
 
-// key names a daemon; one name may stand for several roles.
+// key identifies a daemon; daemons of different roles may share a name.
 type key struct {
 	role Role
 	name string
 }
 
-// Registry holds the announced daemons.
+// Registry holds the daemons that have announced themselves. It is not safe for
+// concurrent use.
 type Registry struct {
 	cfg Config
-	// listening is since when announcements could have been heard.
-	listening time.Time
-	// checked is when leases were looked at last.
-	checked time.Time
-	daemons map[key]*Daemon
-	// downSince says since when a member is seen as down, by VM.
+	// listeningSince is when the reception of announcements last began or resumed
+	// after a pause.
+	listeningSince time.Time
+	// lastExpire is when Expire was last called.
+	lastExpire time.Time
+	daemons    map[key]*Daemon
+	// downSince is when Expire first saw a member as down, by VM.
 	downSince map[string]time.Time
 }
 
-// New makes an empty registry for a leader that starts now.
+// New returns an empty registry for a leader whose term starts now.
 func New(cfg Config, now time.Time) *Registry {
 	return &Registry{
-		cfg:       cfg,
-		listening: now,
-		checked:   now,
-		daemons:   make(map[key]*Daemon),
-		downSince: make(map[string]time.Time),
+		cfg:            cfg,
+		listeningSince: now,
+		lastExpire:     now,
+		daemons:        make(map[key]*Daemon),
+		downSince:      make(map[string]time.Time),
 	}
 }
 
-// Decision says what follows from an announcement.
+// Decision is the result of an announcement.
 type Decision struct {
-	// Superseded is true when a newer incarnation is known; nothing was noted.
+	// Superseded is true if a newer incarnation is known; the announcement was
+	// ignored.
 	Superseded bool
-	// Known is the newest incarnation known.
+	// Known is the newest known incarnation.
 	Known uint64
-	// Propose is true when the member's record has to change in the log.
+	// Propose is true if the member's record has to be changed through the log.
 	Propose bool
-	// ReportsChanged is true when the replicas differ from those before.
+	// ReportsChanged is true if the replicas differ from the previous
+	// announcement's in what a plan depends on.
 	ReportsChanged bool
 }
 
-// Announce notes an announcement. member is the record in force for the name,
-// nil if there is none.
+// Announce records an announcement and renews the daemon's lease. member is the
+// record in force for the VM of that name, nil if there is none.
 func (r *Registry) Announce(a Announcement, member *inventory.Member, now time.Time) Decision {
 	k := key{a.Role, a.Name}
 	old := r.daemons[k]
@@ -150,11 +155,11 @@
 	return d
 }
 
-// changesMember reports whether announcing next would change the record. A
-// member that is leaving stays so within its incarnation.
+// changesMember reports whether an announcement of next would change the record.
+// A member that is leaving remains so until its next incarnation.
 func changesMember(member, next inventory.Member) bool {
-	sameLife := next.Incarnation == member.Incarnation
-	if sameLife && member.State == inventory.MemberLeaving {
+	sameIncarnation := next.Incarnation == member.Incarnation
+	if sameIncarnation && member.State == inventory.MemberLeaving {
 		next.State = inventory.MemberLeaving
 	}
 	return next != member
@@ -171,23 +176,25 @@
 	return known
 }
 
-// Expired is a member whose time has run out.
+// Expired is a member whose lease has expired.
 type Expired struct {
 	VM          string
 	Incarnation uint64
-	// Forget is true when the member was down long enough to be removed.
+	// Forget is true if the member has been down for longer than ForgetAfter and
+	// its record is to be removed.
 	Forget bool
 }
 
 // Expire returns the members without a lease, in the order given, and drops
-// daemons that were not heard of for long. Call it at least three times in a
-// lease: after a longer pause, as when this process was frozen, nothing could
-// be heard, so that every member gets a whole lease again.
+// daemons that have not announced themselves for dropAfterLeases leases. It must be
+// called at least three times per lease: after a longer pause, for example while
+// this process was suspended, announcements may have been missed, so every
+// member gets a whole lease again.
 func (r *Registry) Expire(members []inventory.Member, now time.Time) []Expired {
-	if now.Sub(r.checked) > r.cfg.Lease/3 {
-		r.listening = now
+	if now.Sub(r.lastExpire) > r.cfg.Lease/3 {
+		r.listeningSince = now
 	}
-	r.checked = now
+	r.lastExpire = now
 	var out []Expired
 	down := make(map[string]time.Time)
 	for _, m := range members {
@@ -207,32 +214,34 @@
 		}
 	}
 	r.downSince = down
-	r.dropSilent(now)
+	r.dropInactive(now)
 	return out
 }
 
-// expired reports whether the agent of vm has had a lease's time to announce
-// itself and has not.
+// expired reports whether the agent of vm has not announced itself for a whole
+// lease in which announcements could be received.
 func (r *Registry) expired(vm string, now time.Time) bool {
-	last := r.listening
+	last := r.listeningSince
 	if d := r.daemons[key{RoleAgent, vm}]; d != nil && d.LastSeen.After(last) {
 		last = d.LastSeen
 	}
 	return now.Sub(last) > r.cfg.Lease
 }
 
-// silentLeases is after how many leases a daemon is dropped from the registry.
-const silentLeases = 20
+// dropAfterLeases is after how many leases without an announcement a daemon is
+// dropped from the registry.
+const dropAfterLeases = 20
 
-func (r *Registry) dropSilent(now time.Time) {
+func (r *Registry) dropInactive(now time.Time) {
 	for k, d := range r.daemons {
-		if now.Sub(d.LastSeen) > silentLeases*r.cfg.Lease {
+		if now.Sub(d.LastSeen) > dropAfterLeases*r.cfg.Lease {
 			delete(r.daemons, k)
 		}
 	}
 }
 
-// HasLease reports whether the daemon was heard of within a lease.
+// HasLease reports whether the daemon's last announcement is at most one lease
+// old.
 func (r *Registry) HasLease(d *Daemon, now time.Time) bool {
 	return now.Sub(d.LastSeen) <= r.cfg.Lease
 }
@@ -252,7 +261,7 @@
 	return out
 }
 
-// Reports returns the replicas of every agent that has announced itself.
+// Reports returns the reported replicas of every known agent, by VM.
 func (r *Registry) Reports() map[string][]placement.Replica {
 	out := make(map[string][]placement.Replica)
 	for k, d := range r.daemons {
@@ -268,7 +277,8 @@
 	return out
 }
 
-// sameReplicas compares what a plan depends on.
+// sameReplicas compares the fields of replicas that a plan depends on; progress
+// of a transfer is not among them.
 func sameReplicas(a, b []Replica) bool {
 	if len(a) != len(b) {
 		return false
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -34,26 +34,26 @@
 	leaving.Leaving = true
 	require.True(t, r.Announce(leaving, &record, epoch).Propose)
 	record.State = inventory.MemberLeaving
-	require.False(t, r.Announce(agent("a", 5), &record, epoch).Propose, "a late announcement does not undo the leaving")
+	require.False(t, r.Announce(agent("a", 5), &record, epoch).Propose, "a delayed announcement does not cancel leaving")
 	record.State = inventory.MemberDown
-	require.True(t, r.Announce(agent("a", 5), &record, epoch).Propose, "back after its lease had expired")
+	require.True(t, r.Announce(agent("a", 5), &record, epoch).Propose, "up again after its lease had expired")
 
 	reporting := agent("a", 5)
 	reporting.Replicas = []Replica{{Model: "m", Version: "1", Phase: placement.ReplicaFetching, ChunksHeld: 1}}
 	require.True(t, r.Announce(reporting, &record, epoch).ReportsChanged)
 	reporting.Replicas = []Replica{{Model: "m", Version: "1", Phase: placement.ReplicaFetching, ChunksHeld: 2}}
-	require.False(t, r.Announce(reporting, &record, epoch).ReportsChanged, "progress alone asks for no plan")
+	require.False(t, r.Announce(reporting, &record, epoch).ReportsChanged, "transfer progress alone needs no plan")
 	require.Equal(t, map[string][]placement.Replica{"a": {{Model: "m", Version: "1", Phase: placement.ReplicaFetching}}}, r.Reports())
 
 	entry := Announcement{Name: "a", Role: RoleEntry, Incarnation: 1}
-	require.Equal(t, Decision{Known: 1, ReportsChanged: true}, r.Announce(entry, &record, epoch), "entries have no record")
+	require.Equal(t, Decision{Known: 1, ReportsChanged: true}, r.Announce(entry, &record, epoch), "entries have no member record")
 	require.Len(t, r.Daemons(), 2)
 }
 
-// TestNobodyExpiresEarly announces members at any times, over changes of the
-// leader and freezes of the process, and checks that only those expire who
-// could have been heard for a whole lease and were not.
-func TestNobodyExpiresEarly(t *testing.T) {
+// TestMembersExpireOnlyAfterWholeLease announces members at random times, with
+// leader changes and pauses of the process, and checks that a member expires only
+// after a whole lease in which its announcements could have been received.
+func TestMembersExpireOnlyAfterWholeLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := epoch
 		r := New(testConfig, now)
@@ -61,12 +61,12 @@
 			{VM: "a", Incarnation: 1, State: inventory.MemberUp},
 			{VM: "b", Incarnation: 1, State: inventory.MemberLeaving},
 		}
-		listening := now // since when announcements could be heard without a pause
+		listeningSince := now // start of the current period without a pause
 		last := map[string]time.Time{}
 		step := func(d time.Duration) {
 			now = now.Add(d)
 			if d > testConfig.Lease/3 {
-				listening = now
+				listeningSince = now
 			}
 			expired := map[string]bool{}
 			for _, e := range r.Expire(members, now) {
@@ -75,11 +75,11 @@
 				expired[e.VM] = true
 			}
 			for _, m := range members {
-				heard := listening
-				if last[m.VM].After(heard) {
-					heard = last[m.VM]
+				lastReceived := listeningSince
+				if last[m.VM].After(lastReceived) {
+					lastReceived = last[m.VM]
 				}
-				require.Equal(t, now.Sub(heard) > testConfig.Lease, expired[m.VM], m.VM)
+				require.Equal(t, now.Sub(lastReceived) > testConfig.Lease, expired[m.VM], m.VM)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -92,7 +92,7 @@
 			"freeze": func(t *rapid.T) { step(time.Duration(rapid.IntRange(11, 300).Draw(t, "s")) * time.Second) },
 			"new leader": func(t *rapid.T) {
 				r = New(testConfig, now)
-				listening = now
+				listeningSince = now
 				last = map[string]time.Time{}
 			},
 		})
@@ -109,5 +109,5 @@
 	r.Announce(agent("a", 1), &down[0], late)
 	require.Len(t, r.Daemons(), 1)
 	require.Empty(t, r.Expire(nil, late.Add(21*testConfig.Lease)))
-	require.Empty(t, r.Daemons(), "silent daemons are dropped")
+	require.Empty(t, r.Daemons(), "daemons without announcements are dropped")
 }
