--- a/internal/control/backend.go
+++ b/internal/control/backend.go
@@ -14,7 +14,7 @@
 
 var _ admin.Backend = (*Server)(nil)
 
-// Apply carries out an operator's request through the log.
+// Apply proposes an operator's request to the log and returns the result.
 func (s *Server) Apply(ctx context.Context, req inventory.ChangeRequest) (inventory.ChangeResult, error) {
 	result, err := s.propose(ctx, state.Change{Time: s.cfg.Now(), Limits: s.cfg.Limits, Request: req})
 	if errors.Is(err, replica.ErrTooLarge) {
@@ -32,7 +32,7 @@
 	return r, nil
 }
 
-// Get returns the keys below prefix, confirmed with a quorum.
+// Get returns the keys under prefix at a revision confirmed with a quorum.
 func (s *Server) Get(ctx context.Context, prefix string) (admin.Snapshot, error) {
 	if err := s.confirmRead(ctx); err != nil {
 		return admin.Snapshot{}, err
@@ -45,14 +45,14 @@
 	return snapshot, nil
 }
 
-// Audit returns audit records, confirmed with a quorum.
+// Audit returns the audit records that q selects, confirmed with a quorum.
 func (s *Server) Audit(ctx context.Context, q admin.AuditQuery) ([]inventory.AuditRecord, error) {
 	if err := s.confirmRead(ctx); err != nil {
 		return nil, err
 	}
 	records := []inventory.AuditRecord{}
 	for _, r := range s.machine.Audit() {
-		if r.Revision <= q.Since || !selects(q, r) {
+		if r.Revision <= q.Since || !matchesQuery(q, r) {
 			continue
 		}
 		records = append(records, r)
@@ -63,7 +63,7 @@
 	return records, nil
 }
 
-func selects(q admin.AuditQuery, r inventory.AuditRecord) bool {
+func matchesQuery(q admin.AuditQuery, r inventory.AuditRecord) bool {
 	if q.Operator != "" && q.Operator != r.Operator {
 		return false
 	}
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// adminError turns an error of the log into one of the operators' API.
+// adminError maps an error of the log to one of the operators' API.
 func (s *Server) adminError(err error) error {
 	var notLeader *replica.NotLeaderError
 	switch {
@@ -143,7 +143,7 @@
 	}
 }
 
-// adminAddrOf is the operators' API address of the leader, "" if not known.
+// adminAddrOf returns the operators' API address of the leader, "" if unknown.
 func (s *Server) adminAddrOf(st replica.Status) string {
 	if st.LeaderName == "" {
 		return ""
@@ -151,8 +151,8 @@
 	if st.LeaderName == s.cfg.Name {
 		return s.cfg.AdminAddr
 	}
-	if told := s.leaderAdmin.Load(); told != nil && told.rpcAddr == st.LeaderAddr && told.adminAddr != "" {
-		return told.adminAddr
+	if known := s.leaderAdmin.Load(); known != nil && known.rpcAddr == st.LeaderAddr && known.adminAddr != "" {
+		return known.adminAddr
 	}
 	return s.cfg.AdminAddrs[st.LeaderName]
 }
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -13,8 +13,8 @@
 	"lynxgate.dev/lynxgate/internal/registry"
 )
 
-// targetLoop is a leader's loop at the target size: 1,100 VMs, half of them
-// holding a model.
+// targetLoop returns a leader's loop and state machine at the target size: 1,100
+// VMs, half of them with a model assigned.
 func targetLoop(b *testing.B) (*loop, *state.Machine) {
 	const vms, zones = 1100, 12
 	store := configfeed.NewStore()
@@ -49,7 +49,7 @@
 		b.Fatal(res.Problems)
 	}
 	apply(state.Announce{Time: time.Now(), Members: members})
-	l := &loop{Server: &Server{store: store}, leads: &leadership{registry: registry.New(registry.Config{}, time.Now())}}
+	l := &loop{Server: &Server{store: store}, leadership: &leadership{registry: registry.New(registry.Config{}, time.Now())}}
 	plan := placement.Plan(l.planInput(store.View()))
 	apply(state.Assign{Time: time.Now(), Base: store.Revision(), Wants: plan.Assignments})
 	return l, m
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -20,7 +20,7 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// cluster is control servers over the real log, on loopback.
+// cluster is a set of control servers with the real log, on loopback.
 type cluster struct {
 	t       *testing.T
 	cfg     Config
@@ -64,7 +64,7 @@
 	c.start(i, lis)
 }
 
-// leader waits for a server that leads and has contact with a quorum.
+// leader waits for a leader that is confirmed with a quorum and returns its index.
 func (c *cluster) leader() int {
 	found := -1
 	within(c.t, func() bool {
@@ -84,8 +84,8 @@
 	c.servers[i] = nil
 }
 
-// apply sends a request as an operator's tool does: to any server, following
-// the leader and sending again until there is a result.
+// apply sends a request to the running servers in turn until one returns a
+// result.
 func (c *cluster) apply(req inventory.ChangeRequest) inventory.ChangeResult {
 	var running []*testServer
 	for _, s := range c.servers {
@@ -100,9 +100,9 @@
 	return change(id, base, inventory.Zone{Name: "z", Region: region})
 }
 
-// watchRevisions checks every view that comes into force in the feeds until
-// the returned function is called: revisions rise and the value is the one that
-// was accepted at the revision.
+// watchRevisions checks that the revisions of the feeds never decrease and that
+// each view has the value accepted at its revision. The returned function stops
+// the checks and fails the test if one of them failed.
 func watchRevisions(t *testing.T, feeds []*configfeed.Client) func() {
 	stop := make(chan struct{})
 	faults := make(chan error, len(feeds))
@@ -114,13 +114,13 @@
 				changed := f.Changed()
 				view := f.View()
 				if view.Revision() < last {
-					faults <- fmt.Errorf("revision fell from %d to %d", last, view.Revision())
+					faults <- fmt.Errorf("revision decreased from %d to %d", last, view.Revision())
 					return
 				}
 				last = view.Revision()
 				want := fmt.Sprintf(`"r%d"`, last)
 				if e := view.Get("zone/z"); last > 0 && !strings.Contains(string(e.Value), want) {
-					faults <- fmt.Errorf("revision %d holds %s", last, e.Value)
+					faults <- fmt.Errorf("revision %d has %s", last, e.Value)
 					return
 				}
 				select {
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestLeaderStops stops leaders in the middle of changes and checks that every
-// accepted change is in force on all subscribers in the end, none twice, and
-// that no subscriber ever falls.
+// TestLeaderStops stops leaders during a series of changes and checks that every
+// accepted change comes into force once on all subscribers, and that no
+// subscriber's revision decreases.
 func TestLeaderStops(t *testing.T) {
 	c := startCluster(t, 3)
 	c.leader()
@@ -162,7 +162,7 @@
 		}
 		res := c.apply(zoneChange(fmt.Sprint("op", i), uint64(i), fmt.Sprint("r", i+1)))
 		require.Equal(t, inventory.VerdictAccepted, res.Verdict)
-		require.EqualValues(t, i+1, res.Revision, "one revision each, none lost")
+		require.EqualValues(t, i+1, res.Revision, "one revision per change")
 		if i%40 == 30 {
 			c.restart(down)
 		}
@@ -177,8 +177,8 @@
 	watched()
 }
 
-// TestMinority leaves one server of three: it refuses changes, goes on feeding
-// what it has and says that it is not confirmed.
+// TestMinority stops two of three servers: the third refuses changes, still serves
+// its configuration and reports that it is unconfirmed.
 func TestMinority(t *testing.T) {
 	c := startCluster(t, 3)
 	c.leader()
@@ -191,7 +191,7 @@
 	c.stop(0)
 	c.stop(1)
 	left := c.servers[2]
-	within(t, func() bool { return !left.Confirmed() }, "notices that it is alone")
+	within(t, func() bool { return !left.Confirmed() }, "notices the loss of the quorum")
 	within(t, func() bool {
 		_, err := left.Apply(context.Background(), zoneChange("refused", 1, "r2"))
 		require.Error(t, err)
@@ -205,19 +205,20 @@
 	_, err = client.ReadIndex(ctx)
 	require.Error(t, err)
 	fresh := startFeed(t, "fresh", c.cfg.Peers)
-	within(t, func() bool { return fresh.Revision() == 1 }, "a new process takes what the neighbours hold")
+	within(t, func() bool { return fresh.Revision() == 1 }, "a new subscriber gets the unconfirmed configuration")
 	require.True(t, fresh.Unconfirmed())
-	within(t, old.Unconfirmed, "an old process notices")
+	within(t, old.Unconfirmed, "an old subscriber becomes unconfirmed")
 	require.EqualValues(t, 1, old.Revision())
 
 	c.restart(0)
 	within(t, func() bool { return !old.Unconfirmed() && !fresh.Unconfirmed() }, "confirmed again")
 	res := c.apply(zoneChange("2", 1, "r2"))
 	require.Equal(t, inventory.VerdictAccepted, res.Verdict)
-	require.EqualValues(t, 2, res.Revision, "the refused change left nothing behind")
+	require.EqualValues(t, 2, res.Revision, "the refused change made no revision")
 }
 
-// TestClaimIsGrantedOnce repeats one claim at all servers while leaders stop.
+// TestClaimIsGrantedOnce claims one key in several attempts while leaders stop:
+// only the first attempt is granted it.
 func TestClaimIsGrantedOnce(t *testing.T) {
 	c := startCluster(t, 3)
 	c.leader()
@@ -235,7 +236,7 @@
 	down := c.leader()
 	c.stop(down)
 	require.Equal(t, rpc.ClaimVerdict_CLAIM_IN_PROGRESS, claim("b").Verdict)
-	require.Equal(t, granted.Token, claim("a").Token, "its own claim again")
+	require.Equal(t, granted.Token, claim("a").Token, "the same attempt gets its claim again")
 	c.restart(down)
 	_, err := client.Settle(context.Background(), &rpc.SettleRequest{Organisation: "o", Key: "k", Token: granted.Token,
 		Answer: &rpc.StoredAnswer{Status: 200, Body: []byte("yes")}})
--- a/internal/control/errors_test.go
+++ b/internal/control/errors_test.go
@@ -12,9 +12,9 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// TestAnUnknownResultIsNeverToldAsRefused covers a proposal that was under
-// way when its leader stopped: the log returns both errors together.
-func TestAnUnknownResultIsNeverToldAsRefused(t *testing.T) {
+// TestUnknownResultIsNotReportedAsRefused covers a proposal that was in flight
+// when its leader stopped: the log returns both errors together.
+func TestUnknownResultIsNotReportedAsRefused(t *testing.T) {
 	s := &Server{}
 	for _, other := range []error{replica.ErrStopped, replica.ErrNoQuorum, &replica.NotLeaderError{}} {
 		for _, err := range []error{
--- a/internal/control/event.go
+++ b/internal/control/event.go
@@ -18,36 +18,37 @@
 	reply        chan<- *rpc.AnnounceResponse
 }
 
-// statusAsked asks for what the leader knows; the loop answers on reply.
-type statusAsked struct {
+// statusRequested requests the status; the loop answers on reply.
+type statusRequested struct {
 	reply chan<- admin.Status
 }
 
-// proposed says how a proposal of the loop ended.
-type proposed struct {
-	work proposal
-	// term the proposal was made in.
+// proposalDone is the result of a proposal of the loop.
+type proposalDone struct {
+	proposal proposal
+	// term is the one in which the proposal was made.
 	term   uint64
 	result any
 	err    error
 }
 
-// promoted says that an attempt to promote learners has ended.
-type promoted struct{}
+// promotionDone is posted when a round of promoting learners has ended.
+type promotionDone struct{}
 
-func (announced) isEvent()   {}
-func (statusAsked) isEvent() {}
-func (proposed) isEvent()    {}
-func (promoted) isEvent()    {}
+func (announced) isEvent()       {}
+func (statusRequested) isEvent() {}
+func (proposalDone) isEvent()    {}
+func (promotionDone) isEvent()   {}
 
-// proposal is what the loop has in flight, one at a time.
+// proposal is a command that the loop proposes. At most one is in flight.
 type proposal struct {
 	command state.Command
-	// waiting are the announcements that the command carries.
+	// waiting are the announcements that the command carries. They are answered
+	// when the proposal is done.
 	waiting []announced
 }
 
-// post hands an event to the loop.
+// post sends an event to the loop.
 func (s *Server) post(ctx context.Context, e event) error {
 	select {
 	case s.events <- e:
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -11,7 +11,7 @@
 )
 
 // fakeCluster is a replicated log of several servers in memory: a proposal at
-// the leader is applied by every server that isn't cut off.
+// the leader is applied by every server that isn't partitioned.
 type fakeCluster struct {
 	mu      sync.Mutex
 	entries [][]byte
@@ -20,18 +20,18 @@
 	term    uint64
 }
 
-// fakeLog is one server's log.
+// fakeLog is the log of one server of a fakeCluster.
 type fakeLog struct {
-	cluster *fakeCluster
-	member  replica.Member
-	fsm     replica.FSM
-	applied int
-	cut     bool
+	cluster     *fakeCluster
+	member      replica.Member
+	fsm         replica.FSM
+	applied     int
+	partitioned bool
 }
 
 func newFakeCluster() *fakeCluster { return &fakeCluster{term: 1} }
 
-// open returns an OpenLog for one more server.
+// open returns an OpenLog that adds a server to the cluster.
 func (c *fakeCluster) open(name, addr string) OpenLog {
 	return func(fsm replica.FSM) (Log, error) {
 		c.mu.Lock()
@@ -49,19 +49,19 @@
 	c.term++
 }
 
-func (c *fakeCluster) setCut(node int, cut bool) {
+func (c *fakeCluster) setPartitioned(node int, partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.nodes[node].cut = cut
+	c.nodes[node].partitioned = partitioned
 	c.nodes[node].catchUp()
 }
 
-func (c *fakeCluster) leads() *fakeLog { return c.nodes[c.leader] }
+func (c *fakeCluster) leaderLog() *fakeLog { return c.nodes[c.leader] }
 
-// catchUp applies what the node lacks; the result is that of the last entry.
+// catchUp applies the missing entries and returns the result of the last one.
 func (l *fakeLog) catchUp() any {
 	var result any
-	for !l.cut && l.applied < len(l.cluster.entries) {
+	for !l.partitioned && l.applied < len(l.cluster.entries) {
 		result = l.fsm.Apply(uint64(l.applied+1), l.cluster.entries[l.applied])
 		l.applied++
 	}
@@ -73,11 +73,11 @@
 func (l *fakeLog) Propose(_ context.Context, data []byte) (any, error) {
 	l.cluster.mu.Lock()
 	defer l.cluster.mu.Unlock()
-	if l.cut {
+	if l.partitioned {
 		return nil, replica.ErrNoQuorum
 	}
-	if l.cluster.leads() != l {
-		return nil, &replica.NotLeaderError{Leader: l.cluster.leads().member.Addr}
+	if l.cluster.leaderLog() != l {
+		return nil, &replica.NotLeaderError{Leader: l.cluster.leaderLog().member.Addr}
 	}
 	l.cluster.entries = append(l.cluster.entries, data)
 	for _, n := range l.cluster.nodes {
@@ -91,7 +91,7 @@
 func (l *fakeLog) ReadIndex(context.Context) (uint64, error) {
 	l.cluster.mu.Lock()
 	defer l.cluster.mu.Unlock()
-	if l.cut || l.cluster.leads().cut {
+	if l.partitioned || l.cluster.leaderLog().partitioned {
 		return 0, replica.ErrNoQuorum
 	}
 	return uint64(len(l.cluster.entries)), nil
@@ -120,15 +120,15 @@
 		Name:       l.member.Name,
 		Role:       replica.RoleFollower,
 		Term:       l.cluster.term,
-		LeaderName: l.cluster.leads().member.Name,
-		LeaderAddr: l.cluster.leads().member.Addr,
+		LeaderName: l.cluster.leaderLog().member.Name,
+		LeaderAddr: l.cluster.leaderLog().member.Addr,
 		Commit:     uint64(len(l.cluster.entries)),
 		Applied:    uint64(l.applied),
 	}
 	for _, n := range l.cluster.nodes {
 		st.Members = append(st.Members, n.member)
 	}
-	if l.cluster.leads() == l {
+	if l.cluster.leaderLog() == l {
 		st.Role = replica.RoleLeader
 	}
 	return st
--- a/internal/control/linearizable_test.go
+++ b/internal/control/linearizable_test.go
@@ -14,7 +14,7 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// register is the model of one key for the check of linearizability.
+// register is the state of one key in the linearizability check.
 type register struct {
 	value    string
 	revision uint64
@@ -46,8 +46,8 @@
 	},
 }
 
-// TestChangesAreLinearizable lets operators race on one key, through all
-// servers and over stops of the leader, and checks the history of answers.
+// TestChangesAreLinearizable changes one key by concurrent operators through all
+// servers while a leader stops, and checks that the results are linearizable.
 func TestChangesAreLinearizable(t *testing.T) {
 	c := startCluster(t, 3)
 	c.leader()
@@ -107,7 +107,7 @@
 	return register{z.Region, snapshot.Keys[0].Revision}, true
 }
 
-// applyAnywhere sends a request until some server has a result.
+// applyAnywhere sends a request to the servers in turn until one returns a result.
 func applyAnywhere(servers []*testServer, req inventory.ChangeRequest) inventory.ChangeResult {
 	for {
 		for _, s := range servers {
--- a/internal/control/log.go
+++ b/internal/control/log.go
@@ -1,11 +1,11 @@
-// Package control is the control server: it carries operators' changes, the
-// announcements of daemons, plans and claims into the replicated log, and
-// feeds the configuration that results to subscribers.
+// Package control implements the control server: it proposes operators' changes,
+// the announcements of daemons, plans and claims to the replicated log, and
+// serves the resulting configuration to subscribers.
 //
-// State: the state machine belongs to the goroutine that applies the log; it
-// publishes immutable views. The registry and all that only the leader keeps
-// belong to the one goroutine of Server.Run (the loop). Calls of other
-// goroutines reach the loop as typed events.
+// State: the state machine is owned by the goroutine that applies the log; it
+// publishes immutable views. The registry and all other state of the leader are
+// owned by one goroutine of Server.Run (the loop). Calls from other goroutines
+// reach the loop as typed events.
 //
 // Messages: rpc.Control and rpc.Feed from daemons, admin.Backend from the
 // operators' API, state.Command to the log.
@@ -19,7 +19,7 @@
 	"lynxgate.dev/lynxgate/internal/replica"
 )
 
-// Log is what the control server needs of a replicated log; *replica.Node
+// Log is the part of a replicated log that the control server uses. *replica.Node
 // implements it.
 type Log interface {
 	Register(mux drpc.Mux) error
@@ -31,7 +31,7 @@
 	Promote(ctx context.Context, m replica.Member) error
 	Remove(ctx context.Context, m replica.Member) error
 	Stop(ctx context.Context) error
-	// Done is closed when the log has stopped; Err says why.
+	// Done is closed when the log has stopped; Err returns the cause.
 	Done() <-chan struct{}
 	Err() error
 }
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -13,34 +13,36 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// leadership is what a leader keeps in the loop; it ends with its term.
+// leadership is the loop's state while this server leads. It is dropped at the
+// end of the term.
 type leadership struct {
 	term     uint64
 	registry *registry.Registry
 	// waiting are announcements for the next Announce command.
 	waiting []announced
-	// inFlight is true while a proposal of the loop is under way.
+	// inFlight is true while a proposal of the loop is in flight.
 	inFlight bool
-	// planDue is when the next plan is made; zero when none is needed.
+	// planDue is when the next plan is made, zero if none is scheduled.
 	planDue time.Time
-	// planRest is until when no plan is made, so that planning takes a
-	// bounded share of a core however fast the events come.
-	planRest time.Time
-	// leasesDue is when leases are looked at next.
+	// planNotBefore is the earliest time of the next plan. It bounds planning to a
+	// share of one core at any rate of events.
+	planNotBefore time.Time
+	// leasesDue is when leases are checked next.
 	leasesDue time.Time
 	// claimsDue is when claims are expired next.
 	claimsDue time.Time
 	unmet     []placement.Unmet
 }
 
-// runLoop owns all that only a leader keeps; nothing else writes it.
+// runLoop handles events and starts proposals until ctx ends. No other goroutine
+// accesses the state of the leader.
 func (s *Server) runLoop(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	l := &loop{Server: s, ctx: ctx}
 	for {
 		changed := s.store.Changed()
-		l.wake()
+		l.runDue()
 		select {
 		case e := <-s.events:
 			l.handle(e)
@@ -59,45 +61,46 @@
 type loop struct {
 	*Server
 	ctx context.Context
-	// leads is nil while this server does not lead.
-	leads *leadership
-	timer *time.Timer
-	// lastRevision is the revision that a plan was last asked for.
+	// leadership is nil while this server does not lead.
+	leadership *leadership
+	timer      *time.Timer
+	// lastRevision is the last revision that a plan was scheduled for.
 	lastRevision uint64
-	// promoting is true while an attempt to promote learners is under way.
+	// promoting is true while a round of promoting learners is in progress.
 	promoting  bool
 	promoteDue time.Time
 }
 
-// wake looks at the log's status and starts what is due.
-func (l *loop) wake() {
+// runDue follows changes of leadership, and on the leader starts the promotions
+// and proposals that are due.
+func (l *loop) runDue() {
 	st := l.log.Status()
 	now := l.cfg.Now()
 	l.followLeadership(st, now)
 	l.metrics.observe(st, l.store.Revision(), l.Confirmed())
-	if l.leads == nil {
+	if l.leadership == nil {
 		return
 	}
 	l.promoteLearners(st, now)
-	if !l.leads.inFlight {
+	if !l.leadership.inFlight {
 		l.proposeNext(now)
 	}
 }
 
 func (l *loop) followLeadership(st replica.Status, now time.Time) {
-	leads := st.Role == replica.RoleLeader
-	if leads && l.leads != nil && l.leads.term == st.Term {
+	isLeader := st.Role == replica.RoleLeader
+	if isLeader && l.leadership != nil && l.leadership.term == st.Term {
 		return
 	}
-	if l.leads != nil {
+	if l.leadership != nil {
 		l.loseLeadership()
 		l.cfg.Logger.Info().Uint64("term", st.Term).Msg("leadership lost")
 	}
-	if !leads {
+	if !isLeader {
 		return
 	}
 	l.cfg.Logger.Info().Uint64("term", st.Term).Msg("leadership gained")
-	l.leads = &leadership{
+	l.leadership = &leadership{
 		term: st.Term,
 		registry: registry.New(registry.Config{
 			Lease:       l.cfg.Lease,
@@ -109,13 +112,13 @@
 }
 
 func (l *loop) loseLeadership() {
-	if l.leads == nil {
+	if l.leadership == nil {
 		return
 	}
-	for _, a := range l.leads.waiting {
+	for _, a := range l.leadership.waiting {
 		a.reply <- l.notLeader()
 	}
-	l.leads = nil
+	l.leadership = nil
 }
 
 func (l *loop) notLeader() *rpc.AnnounceResponse {
@@ -128,29 +131,29 @@
 func (l *loop) handle(e event) {
 	switch e := e.(type) {
 	case announced:
-		l.announced(e)
-	case statusAsked:
+		l.handleAnnounced(e)
+	case statusRequested:
 		e.reply <- l.describe()
-	case proposed:
-		l.proposed(e)
-	case promoted:
+	case proposalDone:
+		l.handleProposalDone(e)
+	case promotionDone:
 		l.promoting = false
 	default:
-		panic(fmt.Sprintf("control: no step for event %T", e))
+		panic(fmt.Sprintf("control: unhandled event %T", e))
 	}
 }
 
-// announced notes an announcement and answers it at once, unless the member's
-// record has to change in the log first.
-func (l *loop) announced(e announced) {
-	if l.leads == nil {
+// handleAnnounced records an announcement. It is answered at once, unless the member's
+// record has to be changed through the log first.
+func (l *loop) handleAnnounced(e announced) {
+	if l.leadership == nil {
 		e.reply <- l.notLeader()
 		return
 	}
 	now := l.cfg.Now()
-	d := l.leads.registry.Announce(e.announcement, l.member(e.announcement.Name), now)
+	d := l.leadership.registry.Announce(e.announcement, l.member(e.announcement.Name), now)
 	if d.ReportsChanged {
-		l.wantPlan(now)
+		l.schedulePlan(now)
 	}
 	switch {
 	case d.Superseded:
@@ -158,14 +161,14 @@
 		e.reply <- l.superseded(d.Known)
 	case d.Propose:
 		l.metrics.announcements.WithLabelValues("proposed").Inc()
-		l.leads.waiting = append(l.leads.waiting, e)
+		l.leadership.waiting = append(l.leadership.waiting, e)
 	default:
 		l.metrics.announcements.WithLabelValues("renewed").Inc()
-		e.reply <- l.welcome()
+		e.reply <- l.okResponse()
 	}
 }
 
-func (l *loop) welcome() *rpc.AnnounceResponse {
+func (l *loop) okResponse() *rpc.AnnounceResponse {
 	return &rpc.AnnounceResponse{
 		Status:          rpc.Status_STATUS_OK,
 		LeaseMs:         l.cfg.Lease.Milliseconds(),
@@ -176,7 +179,7 @@
 }
 
 func (l *loop) superseded(known uint64) *rpc.AnnounceResponse {
-	resp := l.welcome()
+	resp := l.okResponse()
 	resp.Status = rpc.Status_STATUS_INVALID
 	resp.KnownIncarnation = known
 	return resp
@@ -200,7 +203,8 @@
 	return members
 }
 
-// decodeDerived reads a record that only the state machine writes.
+// decodeDerived decodes a record that only the state machine writes, and panics
+// if it can't.
 func decodeDerived[R any](key string, value []byte) R {
 	var record R
 	if err := json.Unmarshal(value, &record); err != nil {
@@ -210,29 +214,31 @@
 }
 
 func (l *loop) viewChanged() {
-	if l.leads != nil && l.lastRevision != l.store.Revision() {
+	if l.leadership != nil && l.lastRevision != l.store.Revision() {
 		l.lastRevision = l.store.Revision()
-		l.wantPlan(l.cfg.Now())
+		l.schedulePlan(l.cfg.Now())
 	}
 }
 
-// wantPlan sets the time of the next plan; events until then share it.
-func (l *loop) wantPlan(now time.Time) {
-	if !l.leads.planDue.IsZero() {
+// schedulePlan schedules a plan unless one is scheduled already, so that all events
+// until then share it.
+func (l *loop) schedulePlan(now time.Time) {
+	if !l.leadership.planDue.IsZero() {
 		return
 	}
-	l.leads.planDue = now.Add(l.cfg.PlanDelay)
-	if l.leads.planRest.After(l.leads.planDue) {
-		l.leads.planDue = l.leads.planRest
+	l.leadership.planDue = now.Add(l.cfg.PlanDelay)
+	if l.leadership.planNotBefore.After(l.leadership.planDue) {
+		l.leadership.planDue = l.leadership.planNotBefore
 	}
 }
 
-// planTimer fires when a plan is due, nil when none is.
+// planTimer returns a channel that fires when the next plan is due. It is nil if
+// no plan is scheduled or a proposal is in flight.
 func (l *loop) planTimer() <-chan time.Time {
-	if l.leads == nil || l.leads.planDue.IsZero() || l.leads.inFlight {
+	if l.leadership == nil || l.leadership.planDue.IsZero() || l.leadership.inFlight {
 		return nil
 	}
-	wait := l.leads.planDue.Sub(l.cfg.Now())
+	wait := l.leadership.planDue.Sub(l.cfg.Now())
 	if l.timer != nil {
 		l.timer.Stop()
 	}
--- a/internal/control/planinput.go
+++ b/internal/control/planinput.go
@@ -11,7 +11,8 @@
 	"lynxgate.dev/lynxgate/internal/placement"
 )
 
-// planInput collects what a plan depends on, all of it at one revision.
+// planInput collects the input of a plan based on view. Members may be newer than
+// view; the state machine drops such a plan as stale.
 func (l *loop) planInput(view *keyspace.View) placement.Input {
 	inv, err := inventory.FromRecords(state.DeclaredRecords(view))
 	if err != nil {
@@ -20,7 +21,7 @@
 	return placement.Input{
 		Inventory: inv,
 		Members:   l.members(),
-		Reports:   l.leads.registry.Reports(),
+		Reports:   l.leadership.registry.Reports(),
 		Current:   assignments(view),
 	}
 }
@@ -35,8 +36,8 @@
 	return out
 }
 
-// firstAssignments bounds a plan to what fits one proposal; the revision that
-// it makes leads to the next plan, with the rest.
+// firstAssignments cuts a plan to maxBatch assignments, the most in one proposal.
+// Applying them makes a new revision, which schedules a plan for the rest.
 func firstAssignments(all map[string][]inventory.Want) map[string][]inventory.Want {
 	if len(all) <= maxBatch {
 		return all
--- a/internal/control/process_test.go
+++ b/internal/control/process_test.go
@@ -24,8 +24,8 @@
 	"lynxgate.dev/lynxgate/internal/settings"
 )
 
-// serverEnv holds the settings of a process that this test binary runs as a
-// control server in place of the tests.
+// serverEnv holds the settings, in JSON, of a process in which this test binary
+// runs a control server instead of the tests.
 const serverEnv = "LYNXGATE_TEST_CONTROL_SERVER"
 
 const waitLong = 60 * time.Second
@@ -44,8 +44,9 @@
 	}
 }
 
-// processes is a cluster of control servers as processes. Each has an IP number of its
-// own: a port of 127.0.0.1 is given to others while the server that had it is down.
+// processes is a cluster of control servers, each its own process with its own IP
+// address: a port of 127.0.0.1 may be assigned to another process while its server
+// is down.
 type processes struct {
 	t        *testing.T
 	settings []*settings.Settings
@@ -55,7 +56,7 @@
 	base     uint64
 }
 
-// Ports of every server; the IP number tells servers apart.
+// Ports of every server; servers differ in their IP addresses.
 const (
 	serverRPCPort  = 7100
 	serverHTTPPort = 7200
@@ -105,13 +106,13 @@
 	require.NoError(p.t, p.commands[i].Process.Signal(sig))
 }
 
-// kill ends a process at once, as a crash does.
+// kill kills a process with SIGKILL, as in a crash.
 func (p *processes) kill(i int) {
 	p.signal(i, syscall.SIGKILL)
 	_ = p.commands[i].Wait()
 }
 
-// killAll ends all processes, and shows what they have written if the test has failed.
+// killAll kills all processes and logs their output if the test has failed.
 func (p *processes) killAll() {
 	for i, cmd := range p.commands {
 		if cmd.ProcessState == nil {
@@ -124,7 +125,7 @@
 	}
 }
 
-// connect returns an operator's client of the first n servers.
+// connect returns an operator's client for the first n servers.
 func (p *processes) connect(n int) *adminclient.Client {
 	var addrs []string
 	for _, s := range p.settings[:n] {
@@ -149,7 +150,7 @@
 		[]inventory.Change{{Key: "zone/z", Value: value}})
 	require.NoError(p.t, err)
 	require.Equal(p.t, inventory.VerdictAccepted, reply.Verdict, "%v", reply.Problems)
-	require.Equal(p.t, p.base+1, reply.Revision, "none lost, none twice")
+	require.Equal(p.t, p.base+1, reply.Revision, "one revision per change")
 	p.base = reply.Revision
 }
 
@@ -167,9 +168,9 @@
 	return found
 }
 
-// TestKilledAndFrozenLeaders kills one leader and freezes another in the middle
-// of changes. Nothing accepted is lost or reverts in any subscriber, and the
-// frozen one does not answer with old state when it goes on.
+// TestKilledAndFrozenLeaders kills one leader and stops another with SIGSTOP
+// during a series of changes. No accepted change is lost or reverted at any
+// subscriber, and the frozen leader does not answer with old state after SIGCONT.
 func TestKilledAndFrozenLeaders(t *testing.T) {
 	p := startProcesses(t, 3)
 	var upstreams []string
@@ -216,18 +217,19 @@
 	require.Len(t, records, 60)
 }
 
-// watchFeed checks that the revision rises and holds what was accepted at it.
+// watchFeed checks that the feed's revision never decreases and that each view has
+// the value accepted at its revision.
 func watchFeed(ctx context.Context, t *testing.T, f *configfeed.Client) {
 	var last uint64
 	for ctx.Err() == nil {
 		changed := f.Changed()
 		view := f.View()
 		if view.Revision() < last {
-			t.Errorf("revision fell from %d to %d", last, view.Revision())
+			t.Errorf("revision decreased from %d to %d", last, view.Revision())
 		}
 		last = view.Revision()
 		if e := view.Get("zone/z"); last > 0 && !strings.Contains(string(e.Value), fmt.Sprintf(`"r%d"`, last)) {
-			t.Errorf("revision %d holds %s", last, e.Value)
+			t.Errorf("revision %d has %s", last, e.Value)
 		}
 		select {
 		case <-changed:
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -13,24 +13,24 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// proposeNext starts the most urgent proposal, if there is any: members before
-// plans, since plans depend on members.
+// proposeNext starts the most urgent proposal that is due, if any. Members come
+// before plans, since plans depend on members.
 func (l *loop) proposeNext(now time.Time) {
 	switch {
-	case len(l.leads.waiting) > 0:
+	case len(l.leadership.waiting) > 0:
 		l.proposeMembers(now)
-	case !now.Before(l.leads.leasesDue) && l.proposeExpired(now):
-	case !l.leads.planDue.IsZero() && !now.Before(l.leads.planDue):
+	case !now.Before(l.leadership.leasesDue) && l.proposeExpired(now):
+	case !l.leadership.planDue.IsZero() && !now.Before(l.leadership.planDue):
 		l.proposePlan(now)
-	case !now.Before(l.leads.claimsDue):
+	case !now.Before(l.leadership.claimsDue):
 		l.proposeClaimExpiry(now)
 	}
 }
 
 func (l *loop) proposeMembers(now time.Time) {
-	n := min(len(l.leads.waiting), maxBatch)
-	waiting := l.leads.waiting[:n:n]
-	l.leads.waiting = l.leads.waiting[n:]
+	n := min(len(l.leadership.waiting), maxBatch)
+	waiting := l.leadership.waiting[:n:n]
+	l.leadership.waiting = l.leadership.waiting[n:]
 	members := make([]inventory.Member, len(waiting))
 	for i := range waiting {
 		members[i] = waiting[i].announcement.Member()
@@ -38,11 +38,11 @@
 	l.propose(proposal{command: state.Announce{Time: now, Members: members}, waiting: waiting})
 }
 
-// proposeExpired proposes the members without a lease as down and reports
-// whether there were any.
+// proposeExpired proposes to mark members without a lease as down, or to remove
+// them, and reports whether there were any.
 func (l *loop) proposeExpired(now time.Time) bool {
-	l.leads.leasesDue = now.Add(l.cfg.Lease / leaseChecks)
-	expired := l.leads.registry.Expire(l.members(), now)
+	l.leadership.leasesDue = now.Add(l.cfg.Lease / leaseChecks)
+	expired := l.leadership.registry.Expire(l.members(), now)
 	if len(expired) == 0 {
 		return false
 	}
@@ -56,12 +56,12 @@
 }
 
 func (l *loop) proposePlan(now time.Time) {
-	l.leads.planDue = time.Time{}
+	l.leadership.planDue = time.Time{}
 	view := l.store.View()
 	result := placement.Plan(l.planInput(view))
 	done := l.cfg.Now()
-	l.leads.planRest = done.Add(planRestFactor * done.Sub(now))
-	l.leads.unmet = result.Unmet
+	l.leadership.planNotBefore = done.Add(planPauseFactor * done.Sub(now))
+	l.leadership.unmet = result.Unmet
 	l.metrics.unmet.Set(float64(len(result.Unmet)))
 	l.metrics.plans.Inc()
 	if len(result.Assignments) == 0 {
@@ -72,52 +72,53 @@
 }
 
 func (l *loop) proposeClaimExpiry(now time.Time) {
-	l.leads.claimsDue = now.Add(claimExpiryInterval)
+	l.leadership.claimsDue = now.Add(claimExpiryInterval)
 	if l.machine.HoldsClaims() {
 		l.propose(proposal{command: state.Expire{Now: claims.Millis(now.UnixMilli())}})
 	}
 }
 
-// propose hands a command to the log in a goroutine that reports back.
-func (l *loop) propose(work proposal) {
-	data, err := state.Encode(work.command)
+// propose proposes a command in a goroutine, which posts the result to the loop.
+func (l *loop) propose(p proposal) {
+	data, err := state.Encode(p.command)
 	if err != nil {
 		panic(fmt.Sprintf("control: %v", err))
 	}
-	l.leads.inFlight = true
-	term := l.leads.term
+	l.leadership.inFlight = true
+	term := l.leadership.term
 	go func() {
 		ctx, cancel := context.WithTimeout(l.ctx, l.cfg.ProposeTimeout)
 		defer cancel()
 		result, err := l.log.Propose(ctx, data)
-		_ = l.post(l.ctx, proposed{work: work, term: term, result: result, err: err})
+		_ = l.post(l.ctx, proposalDone{proposal: p, term: term, result: result, err: err})
 	}()
 }
 
-// proposed answers those who waited for a proposal.
-func (l *loop) proposed(e proposed) {
-	l.metrics.countProposal(e.work.command, e.err)
-	if l.leads != nil && l.leads.term == e.term {
-		l.leads.inFlight = false
+// handleProposalDone answers the announcements that the proposal carried.
+func (l *loop) handleProposalDone(e proposalDone) {
+	l.metrics.countProposal(e.proposal.command, e.err)
+	if l.leadership != nil && l.leadership.term == e.term {
+		l.leadership.inFlight = false
 		l.retryPlan(e)
 	}
-	for i, a := range e.work.waiting {
+	for i, a := range e.proposal.waiting {
 		a.reply <- l.answerProposed(e, i)
 	}
 }
 
-// retryPlan plans again after a plan that was stale or lost.
-func (l *loop) retryPlan(e proposed) {
-	if _, ok := e.work.command.(state.Assign); !ok {
+// retryPlan schedules a new plan if the proposal was a plan that failed or was
+// stale.
+func (l *loop) retryPlan(e proposalDone) {
+	if _, ok := e.proposal.command.(state.Assign); !ok {
 		return
 	}
 	result, ok := e.result.(state.AssignResult)
 	if e.err != nil || !ok || result.Stale {
-		l.wantPlan(l.cfg.Now())
+		l.schedulePlan(l.cfg.Now())
 	}
 }
 
-func (l *loop) answerProposed(e proposed, i int) *rpc.AnnounceResponse {
+func (l *loop) answerProposed(e proposalDone, i int) *rpc.AnnounceResponse {
 	result, ok := e.result.(state.AnnounceResult)
 	if e.err != nil || !ok {
 		resp := l.notLeader()
@@ -127,10 +128,10 @@
 	if r := result.Members[i]; r.Superseded {
 		return l.superseded(r.Incarnation)
 	}
-	return l.welcome()
+	return l.okResponse()
 }
 
-// promoteLearners makes voters of learners that have caught up.
+// promoteLearners promotes learners that have caught up to voters.
 func (l *loop) promoteLearners(st replica.Status, now time.Time) {
 	if l.promoting || now.Before(l.promoteDue) {
 		return
@@ -150,8 +151,8 @@
 		ctx, cancel := context.WithTimeout(l.ctx, promoteInterval)
 		defer cancel()
 		for _, m := range learners {
-			_ = l.log.Promote(ctx, m) // tried again while it is a learner
+			_ = l.log.Promote(ctx, m) // retried after promoteInterval
 		}
-		_ = l.post(l.ctx, promoted{})
+		_ = l.post(l.ctx, promotionDone{})
 	}()
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -26,31 +26,32 @@
 	DefaultProposeTimeout = 5 * time.Second
 	DefaultPlanDelay      = 100 * time.Millisecond
 	DefaultConfirmWindow  = 3 * time.Second
-	// tickInterval is how often the loop looks at leadership and leases.
+	// tickInterval is how often the loop checks leadership and what is due.
 	tickInterval = 200 * time.Millisecond
-	// confirmRetries is how much sooner it asks again after a failure.
-	confirmRetries = 10
-	// leaseChecks is how often leases are looked at within one lease.
+	// confirmRetryDivisor divides the time to the next confirmation after a
+	// failed one.
+	confirmRetryDivisor = 10
+	// leaseChecks is the number of lease checks within one lease.
 	leaseChecks = 6
-	// minLease is the shortest lease; the loop must be able to look at it
-	// leaseChecks times.
+	// minLease is the shortest lease allowed; its ticks must suffice for
+	// leaseChecks checks.
 	minLease = 2 * time.Second
 	// claimExpiryInterval is how often claims are expired.
 	claimExpiryInterval = 10 * time.Second
-	// confirmsPerWindow is how often a server asks the quorum in a window.
+	// confirmsPerWindow is the number of confirmations per ConfirmWindow.
 	confirmsPerWindow = 3
 	// promoteInterval is how often a leader tries to promote learners.
 	promoteInterval = 2 * time.Second
-	// planRestFactor times its own duration is the least time between the end
-	// of a plan and the next one: planning takes at most a twentieth of a core.
-	planRestFactor = 19
+	// planPauseFactor times the duration of a plan is the minimum pause before the
+	// next one, so that planning takes at most a twentieth of a core.
+	planPauseFactor = 19
 	// maxBatch bounds the records of one proposal of the loop.
 	maxBatch = 1000
-	// eventQueue is how many events may wait for the loop.
-	eventQueue = 256
+	// eventQueueSize is the capacity of the loop's event queue.
+	eventQueueSize = 256
 )
 
-// Config says how a control server works.
+// Config configures a control server.
 type Config struct {
 	// Name, Zone and Addr (rpc IP:port) of this server; AdminAddr is the
 	// IP:port of its operators' API.
@@ -58,7 +59,7 @@
 	Zone      string
 	Addr      string
 	AdminAddr string
-	// Incarnation rises with every start of the process.
+	// Incarnation is higher after every start of the process.
 	Incarnation uint64
 	// Peers are the rpc addresses of the control servers, this one included.
 	Peers []string
@@ -67,16 +68,17 @@
 	// Lease is how long a daemon counts as up after its last announcement; at
 	// least two seconds.
 	Lease time.Duration
-	// ForgetAfter is how long a member is down before its record is removed.
+	// ForgetAfter is how long a member must be down before its record is removed.
 	ForgetAfter time.Duration
-	// ProposeTimeout bounds the wait for the log.
+	// ProposeTimeout bounds one proposal to the log or one read confirmed by it.
 	ProposeTimeout time.Duration
-	// PlanDelay is the least time between an event and the plan it leads to.
+	// PlanDelay is the minimum time between an event and the plan that it
+	// schedules; events in between share the plan.
 	PlanDelay time.Duration
-	// ConfirmWindow is how old the last contact with a quorum may be for this
-	// server to count as current.
+	// ConfirmWindow is the maximum age of the last confirmation by a quorum for
+	// this server's view to count as current.
 	ConfirmWindow time.Duration
-	// Limits of what the state machine remembers of changes.
+	// Limits bound the history of changes that the state machine keeps.
 	Limits state.Limits
 	// ClaimLimits bound the claims.
 	ClaimLimits claims.Limits
@@ -122,18 +124,19 @@
 	metrics metrics
 	events  chan event
 	// confirmedAt is when the view was last known to be current, nil if never.
-	// It holds a monotonic reading: a step of the clock must not make old
-	// state look fresh.
+	// It has a monotonic clock reading, so that a step of the wall clock can't
+	// make old state count as current.
 	confirmedAt atomic.Pointer[time.Time]
-	// leaderAdmin is the operators' API address of the leader as it told.
+	// leaderAdmin holds the addresses in the leader's last answer to this server's
+	// announcement.
 	leaderAdmin atomic.Pointer[leaderAdmin]
 	stopped     chan struct{}
 }
 
-// leaderAdmin is where the leader at an rpc address serves operators.
+// leaderAdmin is the rpc address of a leader and that of its operators' API.
 type leaderAdmin struct{ rpcAddr, adminAddr string }
 
-// New makes a control server and starts its log.
+// New returns a control server and starts its log. Call Run to run the server.
 func New(cfg Config, open OpenLog) (*Server, error) {
 	cfg = cfg.withDefaults()
 	if cfg.Lease < minLease {
@@ -144,7 +147,7 @@
 		store:   configfeed.NewStore(),
 		peers:   controlclient.New(controlclient.Config{Addrs: cfg.Peers}),
 		metrics: newMetrics(cfg.Registerer),
-		events:  make(chan event, eventQueue),
+		events:  make(chan event, eventQueueSize),
 		stopped: make(chan struct{}),
 	}
 	s.machine = state.New(s.store)
@@ -167,7 +170,7 @@
 	return s, nil
 }
 
-// Register serves the log's own messages, rpc.Control and rpc.Feed.
+// Register registers the log's RPCs, rpc.Control and rpc.Feed with mux.
 func (s *Server) Register(mux drpc.Mux) error {
 	if err := s.log.Register(mux); err != nil {
 		return fmt.Errorf("register replication: %w", err)
@@ -181,7 +184,7 @@
 	return nil
 }
 
-// Run works until the context ends or the log fails. Call Stop afterwards.
+// Run runs the server until ctx ends or the log fails. Call Stop afterwards.
 func (s *Server) Run(ctx context.Context) error {
 	defer close(s.stopped)
 	group, ctx := errgroup.WithContext(ctx)
@@ -196,7 +199,7 @@
 	return err
 }
 
-// watchLog ends Run with an error when the log stops by itself.
+// watchLog returns an error, which ends Run, if the log stops by itself.
 func (s *Server) watchLog(ctx context.Context) error {
 	select {
 	case <-s.log.Done():
@@ -209,29 +212,30 @@
 	}
 }
 
-// Stop hands leadership over and stops the log.
+// Stop transfers leadership and stops the log.
 func (s *Server) Stop(ctx context.Context) error {
 	err := s.log.Stop(ctx)
 	return errors.Join(err, s.peers.Close())
 }
 
-// Store returns the configuration of this server.
+// Store returns the store of this server's configuration.
 func (s *Server) Store() *configfeed.Store { return s.store }
 
-// Confirmed reports whether this server's view was confirmed with a quorum lately.
+// Confirmed reports whether this server's view was confirmed with a quorum within
+// ConfirmWindow.
 func (s *Server) Confirmed() bool {
 	at := s.confirmedAt.Load()
 	return at != nil && s.cfg.Now().Sub(*at) <= s.cfg.ConfirmWindow
 }
 
-// confirmViews asks the quorum at intervals whether the view is current. To
-// hear from a leader is not enough: a server that was cut off hears of the
-// leader before it has what it missed.
+// confirmViews confirms the view with a quorum at intervals. Contact with the
+// leader is not enough: after a partition a server has contact again before it
+// has received the entries that it missed.
 func (s *Server) confirmViews(ctx context.Context) error {
 	for {
 		wait := s.cfg.ConfirmWindow / confirmsPerWindow
 		if !s.confirmView(ctx) {
-			wait /= confirmRetries
+			wait /= confirmRetryDivisor
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -267,7 +271,8 @@
 	return s.store.Revision(), nil
 }
 
-// announceSelf tells the leader what this server has in force.
+// announceSelf announces this server and the revision it has in force to the
+// leader.
 func (s *Server) announceSelf(ctx context.Context) error {
 	announcer := controlclient.NewAnnouncer(controlclient.AnnouncerConfig{
 		Client:  s.peers,
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -21,7 +21,7 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// waitLong bounds waits for conditions; it says nothing about speed.
+// waitLong bounds waits for conditions; it is not a performance requirement.
 const waitLong = 30 * time.Second
 
 // testServer is a control server on a loopback listener.
@@ -88,7 +88,7 @@
 	return ts
 }
 
-// startFakes starts n servers over a fake log.
+// startFakes starts n servers with a fake log.
 func startFakes(t *testing.T, n int, cfg Config) (*fakeCluster, []*testServer) {
 	cluster := newFakeCluster()
 	listeners := make([]net.Listener, n)
@@ -231,9 +231,10 @@
 	require.Equal(t, "1", records[0].OperationID)
 }
 
-// TestLeasesOverAChangeOfLeader lets a member's lease expire, gives the
-// members a lease of grace under a new leader, and keeps a newer incarnation.
-func TestLeasesOverAChangeOfLeader(t *testing.T) {
+// TestLeasesAcrossLeaderChange checks that under a new leader a member without
+// announcements is down after its lease, that its next incarnation is up again,
+// and that a member remains leaving.
+func TestLeasesAcrossLeaderChange(t *testing.T) {
 	cluster, servers := startFakes(t, 2, Config{Lease: minLease})
 	accept(t, servers[0], change("1", 0, fleet...))
 	client := controlclient.New(controlclient.Config{Addrs: []string{servers[0].addr, servers[1].addr}})
@@ -262,7 +263,7 @@
 	announce(leaving)
 	require.Equal(t, inventory.MemberLeaving, stateOf("vm1"))
 	announce(announceAgent("vm1", 2))
-	require.Equal(t, inventory.MemberLeaving, stateOf("vm1"), "a late announcement does not undo the leaving")
+	require.Equal(t, inventory.MemberLeaving, stateOf("vm1"), "a delayed announcement does not cancel leaving")
 }
 
 // TestStatusCountsLeasedReplicas lets the lease of an agent with a live replica
@@ -288,21 +289,21 @@
 	within(t, func() bool { return live() == 0 }, "its lease has expired")
 }
 
-// TestCutServerIsNotConfirmed cuts a follower off: it says so, and a process
-// that starts does not take its old state for current.
-func TestCutServerIsNotConfirmed(t *testing.T) {
+// TestPartitionedServerIsNotConfirmed partitions a follower: it is unconfirmed,
+// and a new subscriber does not start with its old state.
+func TestPartitionedServerIsNotConfirmed(t *testing.T) {
 	cluster, servers := startFakes(t, 2, Config{})
 	accept(t, servers[0], zoneChange("1", 0, "r1"))
 	within(t, func() bool { return servers[1].Confirmed() }, "confirmed")
-	cluster.setCut(1, true)
+	cluster.setPartitioned(1, true)
 	accept(t, servers[0], zoneChange("2", 1, "r2"))
-	within(t, func() bool { return !servers[1].Confirmed() }, "notices the cut")
+	within(t, func() bool { return !servers[1].Confirmed() }, "notices the partition")
 	_, err := servers[1].Get(context.Background(), "zone/")
 	require.ErrorIs(t, err, admin.ErrNoQuorum)
 	feed := startFeed(t, "new", []string{servers[1].addr, servers[0].addr})
 	<-feed.Ready()
 	require.EqualValues(t, 2, feed.Revision())
-	cluster.setCut(1, false)
+	cluster.setPartitioned(1, false)
 	within(t, func() bool { return servers[1].Confirmed() }, "confirmed again")
 	require.EqualValues(t, 2, servers[1].store.Revision())
 }
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -13,7 +13,7 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// errStopped says that the server's loop has ended.
+// errStopped is returned by calls after the server's loop has ended.
 var errStopped = errors.New("control server is stopped")
 
 // service implements rpc.DRPCControlServer.
@@ -51,7 +51,8 @@
 	}
 }
 
-// announcement reads a request; it reports false for one that names nobody.
+// announcement converts a request. It returns false if the role is unknown, or
+// the name or the incarnation is missing.
 func announcement(req *rpc.AnnounceRequest) (registry.Announcement, bool) {
 	a := registry.Announcement{
 		Name:          req.Name,
@@ -136,7 +137,7 @@
 	return &rpc.StoredAnswer{Status: a.Status, ContentType: a.ContentType, Body: a.Body}
 }
 
-// propose hands a command to the log and waits for its result.
+// propose proposes a command to the log and waits for its result.
 func (s *Server) propose(ctx context.Context, c state.Command) (any, error) {
 	data, err := state.Encode(c)
 	if err != nil {
@@ -149,7 +150,8 @@
 	return result, err
 }
 
-// otherLeader is the address of the leader if it is another server.
+// otherLeader returns the address of the leader, "" if it is this server or
+// unknown.
 func (s *Server) otherLeader() string {
 	st := s.log.Status()
 	if st.LeaderName == s.cfg.Name {
@@ -158,8 +160,8 @@
 	return st.LeaderAddr
 }
 
-// statusOf is the status that tells a caller how a proposal ended. What is not
-// known to have been refused may have been accepted.
+// statusOf returns the status of a proposal that ended with err. The result is
+// unknown unless err is known to mean that the command was not applied.
 func statusOf(err error) rpc.Status {
 	var notLeader *replica.NotLeaderError
 	switch {
@@ -178,7 +180,8 @@
 	}
 }
 
-// readStatus is statusOf for reads, which change nothing.
+// readStatus is statusOf for reads. They change nothing, so one with an unknown
+// result counts as not done for lack of a quorum.
 func readStatus(err error) rpc.Status {
 	if s := statusOf(err); s != rpc.Status_STATUS_RESULT_UNKNOWN {
 		return s
--- a/internal/control/state/change.go
+++ b/internal/control/state/change.go
@@ -10,8 +10,8 @@
 	"lynxgate.dev/lynxgate/internal/keyspace"
 )
 
-// applyChange decides on an operator's request. A request that was decided
-// before gets the first result again; every new decision is remembered.
+// applyChange decides on an operator's request and records the result under its
+// operation id. A repeated request gets the recorded result.
 func (m *Machine) applyChange(c Change) inventory.ChangeResult {
 	req := c.Request
 	digest := requestDigest(req)
@@ -30,14 +30,14 @@
 	return result
 }
 
-// repeat answers a request whose operation id is known. Two different
-// requests under one id are a race; the second one loses it.
+// repeat answers a request whose operation id was used before: with the recorded
+// result for the same request, with a conflict for a different one.
 func (m *Machine) repeat(done operation, digest string) inventory.ChangeResult {
 	if done.Digest != digest {
 		return inventory.ChangeResult{
 			Verdict:  inventory.VerdictConflict,
 			Revision: m.view.Revision(),
-			Problems: []string{fmt.Sprintf("operation id %q stands for another change", done.ID)},
+			Problems: []string{fmt.Sprintf("operation id %q was already used for another change", done.ID)},
 		}
 	}
 	result := done.Result
@@ -73,7 +73,8 @@
 	return inventory.ChangeResult{Verdict: inventory.VerdictAccepted, Revision: revision}
 }
 
-// findConflict names why the request's base is out of date, or returns "".
+// findConflict returns why the request's base revision conflicts with the key
+// space, or "".
 func (m *Machine) findConflict(req inventory.ChangeRequest) string {
 	if req.BaseRevision > m.view.Revision() {
 		return fmt.Sprintf("base revision %d is above the one in force", req.BaseRevision)
@@ -86,7 +87,7 @@
 	return ""
 }
 
-// lastChanged is the latest revision at which key may have changed.
+// lastChanged returns the latest revision at which key may have changed.
 func (m *Machine) lastChanged(key string) uint64 {
 	if e := m.view.Get(key); e != nil {
 		return e.Revision
@@ -110,7 +111,7 @@
 	}
 }
 
-// checkRequest finds what is missing in a request whatever it changes.
+// checkRequest reports the required fields that a request lacks.
 func checkRequest(req inventory.ChangeRequest) []string {
 	var problems []string
 	if req.OperationID == "" {
@@ -122,7 +123,8 @@
 	return problems
 }
 
-// requestDigest tells requests apart by all that they ask for.
+// requestDigest returns a digest of the base revision and the changes of a
+// request.
 func requestDigest(req inventory.ChangeRequest) string {
 	h := sha256.New()
 	var n [8]byte
--- a/internal/control/state/command.go
+++ b/internal/control/state/command.go
@@ -2,9 +2,9 @@
 // key space, the results of operations, the audit trail and the claims.
 //
 // State: one Machine per control server, owned by the goroutine that applies
-// the log. Every decision depends on the command and on the state alone, so
-// that all servers come to the same result; the time is the one the leader
-// stamped on the command.
+// the log. Every decision depends only on the command and the state, so that all
+// servers reach the same result; the time is the one that the leader wrote into
+// the command.
 //
 // Messages: the commands of this file, each one entry of the log.
 package state
@@ -44,7 +44,8 @@
 	Request inventory.ChangeRequest `json:"request"`
 }
 
-// Announce puts members that announced themselves. Result: AnnounceResult.
+// Announce stores the records of members that announced themselves. Result:
+// AnnounceResult.
 type Announce struct {
 	Time    time.Time          `json:"time"`
 	Members []inventory.Member `json:"members"`
@@ -55,11 +56,12 @@
 	Members []MemberResult
 }
 
-// MemberResult answers one announcement.
+// MemberResult is the result of one announcement.
 type MemberResult struct {
-	// Superseded is true when a newer incarnation of the VM's agent is known.
+	// Superseded is true if a newer incarnation of the VM's agent is known; the
+	// announcement was ignored.
 	Superseded bool
-	// Incarnation is the one in force for the VM.
+	// Incarnation is the incarnation in force for the VM.
 	Incarnation uint64
 }
 
@@ -69,8 +71,8 @@
 	Members []Expired `json:"members"`
 }
 
-// Expired names a member and the incarnation whose lease expired. A member
-// that announced itself with a newer incarnation meanwhile stays as it is.
+// Expired is a member and the incarnation whose lease expired. A member that has
+// announced a newer incarnation in the meantime is left unchanged.
 type Expired struct {
 	VM          string `json:"vm"`
 	Incarnation uint64 `json:"incarnation"`
@@ -78,19 +80,19 @@
 	Forget bool `json:"forget,omitempty"`
 }
 
-// Assign carries a plan. It is dropped when the key space has moved on from
-// Base, the revision the plan was computed from. Result: AssignResult.
+// Assign carries a plan. It is dropped if the key space is no longer at Base, the
+// revision that the plan was computed from. Result: AssignResult.
 type Assign struct {
 	Time  time.Time                   `json:"time"`
 	Base  uint64                      `json:"base"`
 	Wants map[string][]inventory.Want `json:"wants"`
 }
 
-// AssignResult answers an Assign command.
+// AssignResult is the result of an Assign command.
 type AssignResult struct {
-	// Stale is true when the plan was dropped.
+	// Stale is true if the plan was dropped.
 	Stale bool
-	// Revision in force after the command.
+	// Revision is the one in force after the command.
 	Revision uint64
 }
 
@@ -100,7 +102,8 @@
 // Settle records the outcome of a claim. Result: claims.SettleResult.
 type Settle struct{ claims.Settle }
 
-// Expire ends the claims that are past their time. Result: nil.
+// Expire marks claims past their deadline as unknown and drops claims past their
+// window. Result: nil.
 type Expire struct {
 	Now claims.Millis `json:"now"`
 }
@@ -113,7 +116,7 @@
 func (Settle) kind() kind   { return kindSettle }
 func (Expire) kind() kind   { return kindExpire }
 
-// Encode returns the log entry of a command.
+// Encode encodes a command as a log entry.
 func Encode(c Command) ([]byte, error) {
 	body, err := json.Marshal(c)
 	if err != nil {
@@ -122,10 +125,10 @@
 	return append([]byte{formatVersion, byte(c.kind())}, body...), nil
 }
 
-// Decode reads a log entry.
+// Decode decodes a log entry.
 func Decode(data []byte) (Command, error) {
 	if len(data) < 2 {
-		return nil, fmt.Errorf("decode command: %d bytes are too few", len(data))
+		return nil, fmt.Errorf("decode command: %d bytes, want at least 2", len(data))
 	}
 	if data[0] != formatVersion {
 		return nil, fmt.Errorf("decode command: unknown format version %d", data[0])
--- a/internal/control/state/machine.go
+++ b/internal/control/state/machine.go
@@ -10,29 +10,31 @@
 	"lynxgate.dev/lynxgate/internal/keyspace"
 )
 
-// Publisher receives every new revision, on the applying goroutine.
+// Publisher receives every new revision. Its methods are called on the goroutine
+// that applies the log.
 type Publisher interface {
-	// Advance publishes a view and the changes that led to it from the one before.
+	// Advance publishes a view and the changes from the previous view to it.
 	Advance(view *keyspace.View, changes []*keyspace.Entry)
-	// Replace publishes a view that does not follow from the one before.
+	// Replace publishes a restored view, which need not follow from the previous
+	// one.
 	Replace(view *keyspace.View)
 }
 
-// Limits bound what the machine remembers of changes. The leader writes them
-// into the log with every change, so that servers with different settings
+// Limits bound the history of changes that the machine keeps. The leader writes
+// them into the log with every change, so that servers with different settings
 // files cannot diverge.
 type Limits struct {
 	// OperationWindow is how long the result of an operation id is kept.
 	OperationWindow time.Duration `json:"operation_window"`
-	// Operations is the most results kept.
+	// Operations is the maximum number of results kept.
 	Operations int `json:"operations"`
 	// AuditWindow is how long audit records are kept.
 	AuditWindow time.Duration `json:"audit_window"`
-	// AuditRecords is the most audit records kept.
+	// AuditRecords is the maximum number of audit records kept.
 	AuditRecords int `json:"audit_records"`
-	// AuditBytes is the most bytes of changed values kept in audit records.
+	// AuditBytes is the maximum size of the audit records kept, in bytes.
 	AuditBytes int `json:"audit_bytes"`
-	// Tombstones is the most deleted declared keys remembered.
+	// Tombstones is the maximum number of deleted declared keys kept.
 	Tombstones int `json:"tombstones"`
 }
 
@@ -47,8 +49,8 @@
 	Tombstones:      4096,
 }
 
-// Machine is the replicated state machine. Apply, Snapshot and Restore are
-// for one goroutine; Audit may be called from any.
+// Machine is the replicated state machine. Apply, Snapshot and Restore must be
+// called from one goroutine; Audit and HoldsClaims may be called from any.
 type Machine struct {
 	publisher Publisher
 
@@ -56,16 +58,16 @@
 	now        time.Time
 	operations operations
 	tombstones tombstones
-	// left holds the incarnations that announced their leaving, by VM.
+	// left is the last incarnation that announced that it is leaving, by VM.
 	left      map[string]uint64
 	audit     auditTrail
 	claims    *claims.Table
 	published atomic.Pointer[[]inventory.AuditRecord]
-	// holdsClaims is true while the table of claims may not be empty.
+	// holdsClaims is true if the claims table may have entries.
 	holdsClaims atomic.Bool
 }
 
-// New makes an empty machine at revision 0.
+// New returns an empty machine at revision 0.
 func New(publisher Publisher) *Machine {
 	m := &Machine{publisher: publisher}
 	m.reset()
@@ -83,9 +85,9 @@
 	m.publishAudit()
 }
 
-// Apply carries out one log entry and returns the result of its command. An
-// entry that can't be decoded is a broken invariant: going on would let this
-// server's state differ from the others'.
+// Apply applies one log entry and returns the result of its command. It panics
+// if the entry can't be decoded: skipping it would let this server's state
+// diverge from the others'.
 func (m *Machine) Apply(index uint64, data []byte) any {
 	c, err := Decode(data)
 	if err != nil {
@@ -115,25 +117,25 @@
 		m.holdsClaims.Store(m.claims.Stats().Claims > 0)
 		return nil
 	default:
-		panic(fmt.Sprintf("control state: log entry %d: no step for %T", index, c))
+		panic(fmt.Sprintf("control state: log entry %d: unhandled command %T", index, c))
 	}
 }
 
-// Audit returns the audit records kept, oldest first; not to be changed.
+// Audit returns the audit records, oldest first. The caller must not modify them.
 func (m *Machine) Audit() []inventory.AuditRecord { return *m.published.Load() }
 
 // HoldsClaims reports whether there may be claims to expire.
 func (m *Machine) HoldsClaims() bool { return m.holdsClaims.Load() }
 
-// advanceTime moves the machine's time forward; a leader whose clock is behind
-// its predecessor's does not move it back.
+// advanceTime sets the machine's time to t, unless t is earlier because the
+// leader's clock is behind its predecessor's.
 func (m *Machine) advanceTime(t time.Time) {
 	if t.After(m.now) {
 		m.now = t
 	}
 }
 
-// commit makes one revision out of the changes.
+// commit applies the changes as one new revision and publishes it.
 func (m *Machine) commit(changes []*keyspace.Entry) uint64 {
 	revision := m.view.Revision() + 1
 	for _, e := range changes {
--- a/internal/control/state/machine_test.go
+++ b/internal/control/state/machine_test.go
@@ -18,7 +18,8 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// recorder keeps what was published.
+// recorder is a Publisher that keeps the last view and checks that each revision
+// follows from the previous one.
 type recorder struct {
 	view *keyspace.View
 	t    require.TestingT
@@ -32,7 +33,8 @@
 
 func (r *recorder) Replace(view *keyspace.View) { r.view = view }
 
-// server is a machine under test with a second one that must stay equal.
+// server is a machine under test and a twin that applies the same log but is
+// never restored; their states must be equal.
 type server struct {
 	t       require.TestingT
 	machine *Machine
@@ -69,13 +71,13 @@
 	require.NoError(s.t, s.machine.Restore(snapshot))
 }
 
-// same checks that the machine and its twin hold the same state.
-func (s *server) same() {
+// requireEqualTwin checks that the snapshots of the machine and its twin are equal.
+func (s *server) requireEqualTwin() {
 	a, err := s.machine.Snapshot()
 	require.NoError(s.t, err)
 	b, err := s.twin.Snapshot()
 	require.NoError(s.t, err)
-	require.Equal(s.t, b, a, "state depends on the log alone")
+	require.Equal(s.t, b, a, "state depends only on the log")
 }
 
 func zone(name, region string) inventory.Change {
@@ -87,13 +89,13 @@
 	return inventory.ChangeRequest{OperationID: id, Operator: "op", BaseRevision: base, Changes: changes}
 }
 
-// decided is a request that was answered, with its first answer.
+// decided is a request with the result of its first submission.
 type decided struct {
 	req    inventory.ChangeRequest
 	result inventory.ChangeResult
 }
 
-// operators is the model of the test of racing operators.
+// operators is the model of TestOperatorsRace.
 type operators struct {
 	*server
 	// changed holds the revisions at which each key changed.
@@ -113,12 +115,12 @@
 	}
 	o.first[key] = decided{req, result}
 	if result.Verdict != inventory.VerdictAccepted {
-		require.Same(t, before, o.machine.view, "a refused change leaves nothing behind")
-		require.Equal(t, before.Revision(), result.Revision, "names the revision in force")
+		require.Same(t, before, o.machine.view, "a refused change modifies nothing")
+		require.Equal(t, before.Revision(), result.Revision, "the result has the revision in force")
 		require.Len(t, o.machine.Audit(), o.audit)
 		return
 	}
-	require.LessOrEqual(t, req.BaseRevision, before.Revision(), "nobody has seen the future")
+	require.LessOrEqual(t, req.BaseRevision, before.Revision(), "a base revision above the newest is refused")
 	o.audit++
 	require.Equal(t, before.Revision()+1, result.Revision)
 	require.Len(t, o.machine.Audit(), o.audit)
@@ -128,7 +130,7 @@
 	for _, c := range req.Changes {
 		require.True(t, inventory.IsDeclared(c.Key), "operators write declared keys only")
 		for _, at := range o.changed[c.Key] {
-			require.LessOrEqual(t, at, req.BaseRevision, "%s overwritten unseen", c.Key)
+			require.LessOrEqual(t, at, req.BaseRevision, "%s has changed after the base revision", c.Key)
 		}
 		o.changed[c.Key] = append(o.changed[c.Key], result.Revision)
 	}
@@ -136,12 +138,12 @@
 
 func (o *operators) checkRepeat(t *rapid.T, first decided, req inventory.ChangeRequest, got inventory.ChangeResult) {
 	if requestDigest(first.req) != requestDigest(req) {
-		require.Equal(t, inventory.VerdictConflict, got.Verdict, "another change under a used id")
+		require.Equal(t, inventory.VerdictConflict, got.Verdict, "another change with a used id")
 		return
 	}
 	require.True(t, got.Repeated)
 	got.Repeated = false
-	require.Equal(t, first.result, got, "the first answer again")
+	require.Equal(t, first.result, got, "the first result")
 }
 
 func drawChange(t *rapid.T, label string) inventory.Change {
@@ -158,8 +160,9 @@
 	}
 }
 
-// TestOperatorsRace lets operators with equal ids and stale revisions race and
-// resend, over restarts, and checks every answer against a model.
+// TestOperatorsRace submits and repeats requests of two operators with equal ids
+// and stale base revisions, across restarts, and checks every result against a
+// model.
 func TestOperatorsRace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := &operators{server: newServer(t), changed: map[string][]uint64{}, first: map[operationKey]decided{}}
@@ -183,14 +186,14 @@
 				}
 			},
 			"restart": func(t *rapid.T) { o.restart() },
-			"":        func(t *rapid.T) { o.same() },
+			"":        func(t *rapid.T) { o.requireEqualTwin() },
 		})
 	})
 }
 
-// TestForgottenOperationIsNotRepeated resends requests whose results are past
-// the window, among them deletions whose tombstones are gone.
-func TestForgottenOperationIsNotRepeated(t *testing.T) {
+// TestPrunedOperationIsNotAppliedTwice repeats requests whose results have been
+// dropped, including a deletion whose tombstone has been dropped too.
+func TestPrunedOperationIsNotAppliedTwice(t *testing.T) {
 	limits := DefaultLimits
 	limits.Operations = 1
 	limits.Tombstones = 1
@@ -224,10 +227,10 @@
 	s.now = start // a leader whose clock is behind
 	s.change(request("4", 3, zone("d", "r")))
 	require.Len(t, s.machine.Audit(), 3)
-	require.False(t, s.machine.Audit()[2].Time.Before(s.machine.Audit()[1].Time), "time never goes back")
+	require.False(t, s.machine.Audit()[2].Time.Before(s.machine.Audit()[1].Time), "time never decreases")
 	s.restart()
 	require.Len(t, s.machine.Audit(), 3)
-	s.same()
+	s.requireEqualTwin()
 }
 
 func TestClaimsSurviveSnapshot(t *testing.T) {
@@ -247,14 +250,14 @@
 	again := claim("3")
 	require.Equal(t, claims.Completed, again.Verdict)
 	require.Equal(t, "yes", string(again.Answer.Body))
-	require.Zero(t, s.machine.view.Revision(), "claims make no revisions")
+	require.Zero(t, s.machine.view.Revision(), "claims create no revisions")
 	s.apply(Expire{Now: claims.Millis(24 * time.Hour / time.Millisecond)})
-	require.True(t, s.machine.HoldsClaims(), "a leap of the leader's clock counts as a minute")
+	require.True(t, s.machine.HoldsClaims(), "a jump of the leader's clock counts as one minute")
 	for minute := range 24 * 60 {
 		s.apply(Expire{Now: claims.Millis((24*60 + minute) * 60_000)})
 	}
-	require.False(t, s.machine.HoldsClaims(), "a day of minutes ends them")
-	s.same()
+	require.False(t, s.machine.HoldsClaims(), "claims expire after a day in steps of one minute")
+	s.requireEqualTwin()
 }
 
 func TestRestoreRefusesDamage(t *testing.T) {
@@ -266,7 +269,7 @@
 	for n := range snapshot {
 		require.ErrorIs(t, s.machine.Restore(snapshot[:n]), errSnapshot)
 	}
-	require.Same(t, before, s.machine.view, "a damaged snapshot leaves the state as it was")
+	require.Same(t, before, s.machine.view, "a damaged snapshot leaves the state unchanged")
 	require.Panics(t, func() { s.machine.Apply(9, []byte{formatVersion + 1, 1}) })
 }
 
--- a/internal/control/state/members.go
+++ b/internal/control/state/members.go
@@ -9,7 +9,8 @@
 	"lynxgate.dev/lynxgate/internal/keyspace"
 )
 
-// applyAnnounce puts the members whose record changed, in one revision.
+// applyAnnounce stores the records that the announcements change, in one
+// revision.
 func (m *Machine) applyAnnounce(members []inventory.Member) AnnounceResult {
 	result := AnnounceResult{Members: make([]MemberResult, len(members))}
 	var changes pending
@@ -22,8 +23,9 @@
 	return result
 }
 
-// announceOne decides on one announcement: an older incarnation never
-// overrides a newer one, and one that left does not come back.
+// announceOne adds the changes of one announcement. An older incarnation never
+// replaces a newer one, and an incarnation that has announced that it is leaving
+// stays so.
 func (m *Machine) announceOne(member inventory.Member, changes *pending) MemberResult {
 	known, ok := m.member(member.VM, changes)
 	if ok && member.Incarnation < known.Incarnation {
@@ -37,14 +39,14 @@
 	}
 	if !ok || member != known {
 		changes.put(inventory.PrefixMember+member.VM, member)
-		m.followMember(member, changes)
+		m.updateAssignmentAddr(member, changes)
 	}
 	return MemberResult{Incarnation: member.Incarnation}
 }
 
-// followMember keeps the address in the VM's assignment that of the member;
-// the fence stays, since what is wanted has not changed.
-func (m *Machine) followMember(member inventory.Member, changes *pending) {
+// updateAssignmentAddr copies the member's address and zone to its VM's assignment. The
+// fence stays the same, since the wanted versions do.
+func (m *Machine) updateAssignmentAddr(member inventory.Member, changes *pending) {
 	a, ok := lookup[inventory.Assignment](m, inventory.PrefixAssign+member.VM, changes)
 	if !ok || (a.Addr == member.Addr && a.Zone == member.Zone) {
 		return
@@ -54,8 +56,8 @@
 	changes.put(inventory.PrefixAssign+member.VM, a)
 }
 
-// applyDown marks members down whose incarnation is still the one that was
-// seen to expire.
+// applyDown marks expired members down, or removes their records if Forget is
+// set. Members with another incarnation by now are left unchanged.
 func (m *Machine) applyDown(expired []Expired) {
 	var changes pending
 	for _, e := range expired {
@@ -79,7 +81,7 @@
 		return
 	}
 	if known.State != inventory.MemberDown {
-		return // it came back since
+		return // announced again in the meantime
 	}
 	delete(m.left, e.VM)
 	changes.remove(inventory.PrefixMember + e.VM)
@@ -88,9 +90,9 @@
 	}
 }
 
-// applyAssign puts the plan's assignments. The fence of a changed assignment
-// is the revision that changes it: revisions only rise, so a fence is never
-// used again, not even for a VM whose assignment was removed and put back.
+// applyAssign stores the plan's assignments. The fencing token of a changed
+// assignment is the revision that changes it: revisions only rise, so no token is
+// used twice, even if a VM's assignment is removed and stored again.
 func (m *Machine) applyAssign(c Assign) AssignResult {
 	if c.Base != m.view.Revision() {
 		return AssignResult{Stale: true, Revision: m.view.Revision()}
@@ -110,7 +112,7 @@
 	key := inventory.PrefixAssign + vm
 	member, ok := m.member(vm, changes)
 	if !ok {
-		return // nobody there to carry it out
+		return // no agent to carry it out
 	}
 	known, ok := lookup[inventory.Assignment](m, key, changes)
 	if ok && equalWants(known.Wants, wants) {
@@ -145,7 +147,7 @@
 	return lookup[inventory.Member](m, inventory.PrefixMember+vm, changes)
 }
 
-// lookup reads a derived record as the pending changes leave it.
+// lookup decodes a derived record, with the pending changes applied.
 func lookup[R any](m *Machine, key string, changes *pending) (R, bool) {
 	var record R
 	e := changes.get(key)
@@ -161,7 +163,7 @@
 	return record, true
 }
 
-// pending collects the changes of one command; the last one of a key counts.
+// pending collects the changes of one command and keeps the last one of each key.
 type pending struct {
 	entries []*keyspace.Entry
 	byKey   map[string]*keyspace.Entry
--- a/internal/control/state/members_test.go
+++ b/internal/control/state/members_test.go
@@ -30,10 +30,10 @@
 	return lookup[inventory.Assignment](s.machine, inventory.PrefixAssign+vm, &pending{})
 }
 
-// fences is the model of the test of members and fences.
+// fences is the model of TestFencesRise.
 type fences struct {
 	*server
-	// highest fence ever given to a VM and the wants it stood for.
+	// highest is the highest fence of each VM, wants the versions assigned with it.
 	highest map[string]uint64
 	wants   map[string][]inventory.Want
 	newest  map[string]uint64
@@ -42,12 +42,12 @@
 
 // check compares the records with the model after every step.
 func (f *fences) check(t *rapid.T) {
-	f.same()
+	f.requireEqualTwin()
 	for _, vm := range []string{"a", "b"} {
 		if m, ok := f.memberOf(vm); ok {
 			require.Equal(t, f.newest[vm], m.Incarnation, "the newest incarnation is in force")
 			if f.left[vm] == m.Incarnation {
-				require.NotEqual(t, inventory.MemberUp, m.State, "who left does not come back")
+				require.NotEqual(t, inventory.MemberUp, m.State, "an incarnation that was leaving is not up again")
 			}
 		}
 		a, ok := f.assignmentOf(vm)
@@ -56,7 +56,7 @@
 			continue
 		}
 		if f.wants[vm] != nil && equalWants(f.wants[vm], a.Wants) {
-			require.Equal(t, f.highest[vm], a.Fence, "a fence stands for one assignment")
+			require.Equal(t, f.highest[vm], a.Fence, "unchanged wants keep their fence")
 			continue
 		}
 		require.Greater(t, a.Fence, f.highest[vm], "a changed assignment has a higher fence")
@@ -65,8 +65,9 @@
 	}
 }
 
-// TestFencesRise runs members and plans in any order, with removals and
-// restarts, and checks that fences only rise and incarnations never fall.
+// TestFencesRise applies announcements, expired leases and plans in random order,
+// with removals and restarts, and checks that fences and incarnations never
+// decrease.
 func TestFencesRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fences{server: newServer(t), highest: map[string]uint64{}, wants: map[string][]inventory.Want{},
@@ -98,10 +99,10 @@
 				f.apply(Down{Time: f.now, Members: []Expired{e}})
 				after, still := f.memberOf(vm)
 				if known && before.Incarnation != e.Incarnation {
-					require.Equal(t, before, after, "another incarnation was seen to expire")
+					require.Equal(t, before, after, "the lease of another incarnation has expired")
 				}
 				if known && !still {
-					require.Equal(t, inventory.MemberDown, before.State, "only who is down is forgotten")
+					require.Equal(t, inventory.MemberDown, before.State, "only members that are down are removed")
 					f.left[vm] = 0
 				}
 			},
@@ -136,7 +137,7 @@
 	require.False(t, ok)
 	s.announce(member("a", 2, inventory.MemberUp))
 	moved, _ := s.assignmentOf("a")
-	require.Equal(t, "addr2", moved.Addr, "the swarm finds the agent at its new address")
+	require.Equal(t, "addr2", moved.Addr, "peers find the agent at its new address")
 	require.Equal(t, first.Fence, moved.Fence)
-	s.same()
+	s.requireEqualTwin()
 }
--- a/internal/control/state/memory.go
+++ b/internal/control/state/memory.go
@@ -7,7 +7,7 @@
 	"lynxgate.dev/lynxgate/internal/keyspace"
 )
 
-// operation is a decided request.
+// operation is a decided request with its result.
 type operation struct {
 	Operator string                 `json:"operator"`
 	ID       string                 `json:"id"`
@@ -16,11 +16,11 @@
 	Time     time.Time              `json:"time"`
 }
 
-// operationKey names a request. Operators choose ids without knowing of each
-// other, so equal ids of two operators are different requests.
+// operationKey identifies a request. Operators choose ids independently, so equal
+// ids of two operators are different requests.
 type operationKey struct{ operator, id string }
 
-// operations remembers decided requests in the order of their decision.
+// operations keeps decided requests, oldest decision first.
 type operations struct {
 	byKey map[operationKey]operation
 	order []operationKey
@@ -41,8 +41,9 @@
 	o.order = append(o.order, key)
 }
 
-// prune forgets operations past the window or above the limit. A resend of a
-// forgotten request meets a changed key and is a conflict, so it never runs twice.
+// prune drops operations past the window or above the limit. A repeat of an
+// accepted request whose result was dropped conflicts with the change that the
+// request itself made, so it is never applied twice.
 func (o *operations) prune(limits Limits, now time.Time) {
 	oldest := now.Add(-limits.OperationWindow)
 	for len(o.order) > 0 {
@@ -55,15 +56,16 @@
 	}
 }
 
-// tombstone is a deleted declared key.
+// tombstone is a deleted declared key and the revision that deleted it.
 type tombstone struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
 }
 
-// tombstones remembers when declared keys were deleted, so that a request made
-// from before the deletion is a conflict. floor is the highest revision that
-// was forgotten: an absent key may have been deleted at floor or before.
+// tombstones keeps the revisions at which declared keys were deleted, so that a
+// request based on an earlier revision is a conflict. floor is the highest
+// revision of a dropped tombstone: an absent key may have been deleted at floor or
+// before.
 type tombstones struct {
 	byKey map[string]uint64
 	order []tombstone
@@ -104,7 +106,7 @@
 }
 
 // auditTrail keeps audit records, oldest first. Records are only appended and
-// dropped from the front, so a published slice stays as it was.
+// dropped from the front, so a published slice never changes.
 type auditTrail struct {
 	records []inventory.AuditRecord
 	bytes   int
--- a/internal/control/state/snapshot.go
+++ b/internal/control/state/snapshot.go
@@ -22,9 +22,9 @@
 // snapshotVersion is the first byte of every snapshot.
 const snapshotVersion = 1
 
-// maxSection bounds one section in bytes, so that a damaged length can't ask
-// for unlimited memory.
-const maxSection = 64 << 20
+// maxSectionBytes bounds the body of one section in bytes, so that a damaged length
+// can't cause an unbounded allocation.
+const maxSectionBytes = 64 << 20
 
 // section is the type of one record of a snapshot. A snapshot is a sequence
 // of sections, each a type byte, a length and a body, that can be written and
@@ -56,7 +56,7 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Snapshot encodes the whole state. Equal states have equal snapshots.
+// Snapshot encodes the state. Equal states have equal snapshots.
 func (m *Machine) Snapshot() ([]byte, error) {
 	var buf bytes.Buffer
 	w := &sectionWriter{out: &buf}
@@ -93,8 +93,8 @@
 	w.raw(sectionEnd, nil)
 }
 
-// Restore replaces the whole state by that of a snapshot, and leaves it as it
-// was when the snapshot is damaged.
+// Restore replaces the state by that of a snapshot. A damaged snapshot leaves the
+// state unchanged.
 func (m *Machine) Restore(snapshot []byte) error {
 	fresh := New(m.publisher)
 	if err := fresh.readSections(snapshot); err != nil {
@@ -117,7 +117,7 @@
 	in := bufio.NewReader(bytes.NewReader(snapshot))
 	version, err := in.ReadByte()
 	if err != nil || version != snapshotVersion {
-		return fmt.Errorf("%w: version %d", errSnapshot, version)
+		return fmt.Errorf("%w: unsupported version %d", errSnapshot, version)
 	}
 	var header headerRecord
 	var entries []*keyspace.Entry
@@ -137,7 +137,7 @@
 		case sectionEntry:
 			entries, err = readEntry(entries, body)
 		default:
-			err = m.readMemory(s, body)
+			err = m.readRecord(s, body)
 		}
 		if err != nil {
 			return fmt.Errorf("%w: section %d: %w", errSnapshot, s, err)
@@ -153,8 +153,8 @@
 	return append(entries, &keyspace.Entry{Key: kv.Key, Value: kv.Value, Revision: kv.Revision}), nil
 }
 
-// readMemory reads the sections of what the machine remembers besides its keys.
-func (m *Machine) readMemory(s section, body []byte) error {
+// readRecord reads a section other than the header, the entries and the end.
+func (m *Machine) readRecord(s section, body []byte) error {
 	switch s {
 	case sectionOperation:
 		var op operation
@@ -188,7 +188,7 @@
 		}
 		m.claims = table
 	default:
-		return errors.New("unknown type")
+		return errors.New("unknown section type")
 	}
 	return nil
 }
@@ -196,15 +196,15 @@
 func readSection(in *bufio.Reader) (section, []byte, error) {
 	s, err := in.ReadByte()
 	if err != nil {
-		return 0, nil, fmt.Errorf("%w: cut off", errSnapshot)
+		return 0, nil, fmt.Errorf("%w: truncated", errSnapshot)
 	}
 	length, err := binary.ReadUvarint(in)
-	if err != nil || length > maxSection {
-		return 0, nil, fmt.Errorf("%w: length of section %d", errSnapshot, s)
+	if err != nil || length > maxSectionBytes {
+		return 0, nil, fmt.Errorf("%w: invalid length of section %d", errSnapshot, s)
 	}
 	body := make([]byte, length)
 	if _, err := io.ReadFull(in, body); err != nil {
-		return 0, nil, fmt.Errorf("%w: section %d is cut off", errSnapshot, s)
+		return 0, nil, fmt.Errorf("%w: section %d is truncated", errSnapshot, s)
 	}
 	return section(s), body, nil
 }
--- a/internal/control/state/validate.go
+++ b/internal/control/state/validate.go
@@ -5,13 +5,13 @@
 	"lynxgate.dev/lynxgate/internal/keyspace"
 )
 
-// validate finds what is wrong with the declarations as a whole that the
-// changes would make.
+// validate returns the problems of the declared records as the changes would
+// leave them.
 func (m *Machine) validate(changes []inventory.Change) []string {
 	return inventory.ValidateChange(DeclaredRecords(m.view), changes)
 }
 
-// DeclaredRecords returns the declared keys of a view with their values.
+// DeclaredRecords returns the values of a view's declared keys, by key.
 func DeclaredRecords(view *keyspace.View) map[string][]byte {
 	records := make(map[string][]byte)
 	for _, prefix := range inventory.Declared {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -12,21 +12,22 @@
 	"lynxgate.dev/lynxgate/internal/registry"
 )
 
-// Status returns what this server knows; only the leader knows the daemons.
+// Status returns this server's status. Only the leader's has the daemons and
+// replicas.
 func (s *Server) Status(ctx context.Context) (admin.Status, error) {
 	reply := make(chan admin.Status, 1)
-	if err := s.post(ctx, statusAsked{reply: reply}); err != nil {
-		return admin.Status{}, fmt.Errorf("ask for status: %w", err)
+	if err := s.post(ctx, statusRequested{reply: reply}); err != nil {
+		return admin.Status{}, fmt.Errorf("get status: %w", err)
 	}
 	select {
 	case st := <-reply:
 		return st, nil
 	case <-ctx.Done():
-		return admin.Status{}, fmt.Errorf("ask for status: %w", ctx.Err())
+		return admin.Status{}, fmt.Errorf("get status: %w", ctx.Err())
 	}
 }
 
-// describe collects the status; it runs in the loop.
+// describe returns the status. It must be called from the loop.
 func (l *loop) describe() admin.Status {
 	st := l.log.Status()
 	out := admin.Status{
@@ -40,27 +41,27 @@
 		Daemons:         []admin.DaemonStatus{},
 		Laggards:        []admin.Laggard{},
 	}
-	if l.leads == nil {
+	if l.leadership == nil {
 		return out
 	}
 	now := l.cfg.Now()
 	counts := make(map[inventory.ModelVersion]*admin.ReplicaCount)
-	for _, d := range l.leads.registry.Daemons() {
+	for _, d := range l.leadership.registry.Daemons() {
 		l.describeDaemon(&out, d, now)
-		if l.leads.registry.HasLease(d, now) {
+		if l.leadership.registry.HasLease(d, now) {
 			countReplicas(&out, counts, d)
 		}
 	}
 	l.countWanted(counts)
 	out.Replicas = sortedCounts(counts)
-	for _, u := range l.leads.unmet {
+	for _, u := range l.leadership.unmet {
 		out.Unmet = append(out.Unmet, describeUnmet(u))
 	}
 	return out
 }
 
 func (l *loop) describeDaemon(out *admin.Status, d *registry.Daemon, now time.Time) {
-	hasLease := l.leads.registry.HasLease(d, now)
+	hasLease := l.leadership.registry.HasLease(d, now)
 	if d.Role == registry.RoleControl && d.Name == l.cfg.Name {
 		d.Revision, d.Unconfirmed, d.LastSeen = out.Revision, !out.Quorum, now
 	}
@@ -101,13 +102,13 @@
 	}
 }
 
-// lagReason says why a daemon does not have the newest revision in force, ""
-// if it has.
+// lagReason returns why a daemon does not have the newest revision in force, or
+// "" if it does or has left.
 func lagReason(d *registry.Daemon, revision uint64, hasLease bool, now time.Time) string {
-	silent := now.Sub(d.LastSeen).Round(time.Second)
+	sinceSeen := now.Sub(d.LastSeen).Round(time.Second)
 	switch {
 	case !hasLease && !d.Leaving:
-		return fmt.Sprintf("not heard of for %s", silent)
+		return fmt.Sprintf("not heard of for %s", sinceSeen)
 	case !hasLease || d.Revision >= revision && !d.Unconfirmed:
 		return ""
 	case d.Unconfirmed:
@@ -115,11 +116,12 @@
 	case d.Revision == 0:
 		return "has no configuration yet"
 	default:
-		return fmt.Sprintf("reported %s ago", silent)
+		return fmt.Sprintf("reported %s ago", sinceSeen)
 	}
 }
 
-// countReplicas counts an agent's replicas by phase and notes its transfers.
+// countReplicas adds an agent's replicas to counts by phase, and its transfers in
+// progress to out.
 func countReplicas(out *admin.Status, counts map[inventory.ModelVersion]*admin.ReplicaCount, d *registry.Daemon) {
 	for _, r := range d.Replicas {
 		c := countOf(counts, r.Model, r.Version)
