--- a/internal/control/state/change.go
+++ b/internal/control/state/change.go
@@ -37,7 +37,7 @@
 		return inventory.ChangeResult{
 			Verdict:  inventory.VerdictConflict,
 			Revision: m.view.Revision(),
-			Problems: []string{fmt.Sprintf("operation id %q was already used for another change", done.ID)},
+			Problems: []string{fmt.Sprintf("operation id %q stands for another change", done.ID)},
 		}
 	}
 	result := done.Result
