--- a/internal/placement/fleet_test.go
+++ b/internal/placement/fleet_test.go
@@ -9,20 +9,20 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// testingT is what both testing.T and rapid.T offer.
+// testingT is implemented by testing.T and rapid.T.
 type testingT interface {
 	require.TestingT
 	Helper()
 }
 
-// agent carries one VM's assignment out, a phase each step. Ordering a load
-// ends the version served before.
+// agent simulates the agent of one VM. Each step advances the assignment by one
+// phase; a load unloads the version served before.
 type agent struct {
 	member  inventory.Member
 	wants   []inventory.Want
 	staged  map[ref]bool
 	failed  map[ref]bool
-	bad     map[ref]bool // loads of these fail
+	bad     map[ref]bool // versions whose loads fail
 	serves  ref
 	loading ref
 	report  []Replica
@@ -91,13 +91,13 @@
 	}
 }
 
-// fleet is an inventory, its agents and their last reports.
+// fleet simulates an inventory, its agents and their last reports.
 type fleet struct {
 	inv         inventory.Inventory
 	agents      map[string]*agent
 	reports     map[string][]Replica
 	lostReports bool
-	// lag holds VMs whose reports are not passed on.
+	// lag holds the VMs whose reports are delayed.
 	lag map[string]bool
 }
 
@@ -134,7 +134,7 @@
 	return in
 }
 
-// plan runs Plan, checks that the result is a fixpoint and applies it.
+// plan runs Plan, checks that its result is a fixed point, and applies it.
 func (f *fleet) plan(t testingT) Result {
 	t.Helper()
 	in := f.input()
@@ -155,14 +155,14 @@
 	}
 }
 
-// settle plans and lets the agents work until nothing changes any more.
+// settle plans and steps the agents until the assignments stop changing.
 func (f *fleet) settle(t testingT) Result {
 	t.Helper()
 	res, _ := f.settleCounting(t)
 	return res
 }
 
-// settleMoves settles and returns the VMs that got or lost a version.
+// settleMoves is settle, returning the VMs whose assignments changed.
 func (f *fleet) settleMoves(t testingT) map[string]bool {
 	t.Helper()
 	_, moved := f.settleCounting(t)
@@ -185,7 +185,7 @@
 			return res, moved
 		}
 	}
-	require.Fail(t, "the plan does not settle")
+	require.Fail(t, "the assignments do not settle")
 	return Result{}, nil
 }
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,15 +1,14 @@
 // Package placement decides which VMs hold which model versions.
 //
-// Duty: from the declared inventory, the announced members, their replica
-// reports and the assignments in force, Plan computes the next assignments
-// and names the rules that cannot be met. It keeps VMs that are still valid,
-// spreads copies over zones, repairs after deaths and drains, and rolls
-// versions in waves that keep a minimum of replicas live.
+// From the declared inventory, the announced members, their replica reports
+// and the assignments in force, Plan computes the next assignments and lists
+// the rules that cannot be met. It keeps VMs that still satisfy a rule, spreads
+// copies over zones, replaces replicas on VMs that are down or drained, and
+// rolls out versions in waves that keep a minimum of replicas live.
 //
-// State: none. Plan is a pure, deterministic function; the memory of a roll
-// or of a failed load is in the assignments and the reports themselves.
-//
-// Messages: Input in, Result out.
+// Plan is a pure, deterministic function. The package keeps no state: the
+// progress of a roll and failed loads are read from the assignments and the
+// reports.
 package placement
 
 import (
@@ -20,7 +19,7 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// ReplicaPhase is how far a VM has brought one model version.
+// ReplicaPhase is the progress of one model version on a VM.
 type ReplicaPhase string
 
 // The phases an agent reports.
@@ -29,9 +28,9 @@
 	ReplicaStaged   ReplicaPhase = "staged"
 	ReplicaLoading  ReplicaPhase = "loading"
 	ReplicaLive     ReplicaPhase = "live"
-	// ReplicaFailed means the agent gave up on the version. It must be
-	// reported for as long as the version is among the VM's wants, until
-	// the agent restarts or has succeeded.
+	// ReplicaFailed means that the agent stopped trying to fetch or load the
+	// version. The agent reports it while the version is among the VM's wants,
+	// until it restarts or a load succeeds.
 	ReplicaFailed ReplicaPhase = "failed"
 )
 
@@ -46,24 +45,24 @@
 type Input struct {
 	Inventory inventory.Inventory
 	Members   []inventory.Member
-	// Reports by VM. A VM without an entry has not reported yet (as after a
-	// change of leader): its replicas may be live and are left alone. An
-	// empty entry says that the VM holds nothing.
+	// Reports by VM. A VM without an entry has not reported yet (for example
+	// after a change of leader); its replicas may be live and are kept. An
+	// empty entry means that the VM holds nothing.
 	Reports map[string][]Replica
 	// Current assignments in force, by VM.
 	Current map[string]inventory.Assignment
 }
 
-// Result holds what has to change.
+// Result is the outcome of one Plan call.
 type Result struct {
-	// Assignments has the new wants of each VM whose wants change; an empty
-	// list takes everything from the VM.
+	// Assignments holds the new wants of each VM whose wants change; an empty
+	// list removes all model versions from the VM.
 	Assignments map[string][]inventory.Want
 	// Unmet lists rules not met as declared, by rule name.
 	Unmet []Unmet
 }
 
-// Reason says why a rule is not met.
+// Reason is the reason why a rule is not met.
 type Reason string
 
 // The reasons for which a rule is unmet.
@@ -87,13 +86,13 @@
 	Possible int
 }
 
-// maxRounds bounds how often one call plans on its own result. A round may
-// free a VM that the next can use; 1,000 generated sequences passed with
-// three.
+// maxRounds bounds the planning rounds of one Plan call. A round may free a VM
+// that the next round uses; 1,000 generated event sequences needed at most
+// three rounds.
 const maxRounds = 6
 
-// Plan computes the changes that bring the assignments nearer to the rules.
-// Planning again with the result applied and nothing else changed gives no
+// Plan computes the changes that bring the assignments closer to the rules. It
+// is idempotent: with the result applied and all else equal, it returns no
 // further change.
 func Plan(in Input) Result {
 	next := maps.Clone(in.Current)
@@ -114,13 +113,13 @@
 	return Result{Assignments: changes(in.Current, next), Unmet: unmet}
 }
 
-// plan makes one round.
+// plan runs one planning round.
 func (p *planner) plan() {
 	for _, r := range p.rules {
 		p.selectHolders(r)
 	}
 	for _, pool := range p.pools() {
-		pool.recount(p)
+		pool.findReleased(p)
 		for _, r := range pool.rules {
 			p.roll(pool, r)
 		}
@@ -128,7 +127,7 @@
 	}
 }
 
-// apply writes the round's wants into the assignments and says whether any
+// apply writes the round's wants into the assignments and reports whether any
 // changed.
 func (p *planner) apply(next map[string]inventory.Assignment) bool {
 	changed := false
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -9,13 +9,13 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// testRegions has two zones in the first region and one in the second.
+// testZones has two zones in region a and one in region b.
 var testZones = []inventory.Zone{
 	{Name: "a1", Region: "a"}, {Name: "a2", Region: "a"}, {Name: "b1", Region: "b"},
 }
 
-// newFleet returns a fleet of n VMs, spread over zones in turn, all members
-// of one service with one rule.
+// newFleet returns a fleet of n VMs, spread evenly over the zones, in one service
+// with one rule.
 func newFleet(n int, rule inventory.Rule) *fleet {
 	f := &fleet{
 		inv: inventory.Inventory{
@@ -42,7 +42,7 @@
 	f := newFleet(9, chatRule("v1", 5))
 	f.settle(t)
 	require.Equal(t, 5, f.liveOn("v1"))
-	require.Equal(t, map[string]int{"a1": 2, "a2": 1, "b1": 2}, f.perZone("v1"), "the region with fewer copies goes first")
+	require.Equal(t, map[string]int{"a1": 2, "a2": 1, "b1": 2}, f.perZone("v1"), "ties go to the region with fewer copies")
 }
 
 func TestUndeclaredZoneIsAllowedUnlessRestricted(t *testing.T) {
@@ -54,7 +54,7 @@
 	require.Equal(t, []Unmet{{"r", ReasonTooFewVMs, 1, 0}}, f.plan(t).Unmet)
 }
 
-func TestDeathIsRepairedEvenTwice(t *testing.T) {
+func TestVMsGoingDownRepeatedlyAreReplaced(t *testing.T) {
 	f := newFleet(9, chatRule("v1", 5))
 	f.settle(t)
 	for range 2 {
@@ -62,9 +62,9 @@
 		f.agents[victim].member.State = inventory.MemberDown
 		f.agents[victim].reset()
 		changed := f.plan(t)
-		require.LessOrEqual(t, len(changed.Assignments), 1, "the replacement alone")
+		require.LessOrEqual(t, len(changed.Assignments), 1, "only the replacement changes")
 		require.NotContains(t, changed.Assignments, victim)
-		f.stepAgents() // the next death comes before the repair has ended
+		f.stepAgents() // the next VM goes down before the repair is complete
 	}
 	f.settle(t)
 	require.Equal(t, 5, f.liveOn("v1"))
@@ -76,7 +76,7 @@
 	drained := f.firstLive("v1")
 	f.vm(drained).Drained = true
 	res := f.plan(t)
-	require.NotContains(t, res.Assignments, drained, "kept while the replacement is fetching")
+	require.NotContains(t, res.Assignments, drained, "kept while the replacement fetches the weights")
 	f.settle(t)
 	require.Empty(t, f.agents[drained].wants)
 	require.Equal(t, 5, f.liveOn("v1"))
@@ -98,11 +98,11 @@
 		least = min(least, f.liveOn("v1")+f.liveOn("v2"))
 	}
 	require.Equal(t, 8, f.liveOn("v2"))
-	require.Equal(t, 6, least, "a quarter may be down")
+	require.Equal(t, 6, least, "a quarter may be down at once")
 	require.Empty(t, f.plan(t).Assignments)
 }
 
-func TestRollFailureStaysOnOldAndHalts(t *testing.T) {
+func TestFailedRollHaltsAndKeepsOldVersion(t *testing.T) {
 	f := newFleet(8, chatRule("v1", 8))
 	f.settle(t)
 	f.inv.Rules[0].Version = "v2"
@@ -110,16 +110,16 @@
 		a.bad = map[ref]bool{{"m", "v2"}: true}
 	}
 	res := f.settle(t)
-	require.Equal(t, 8, f.liveOn("v1"), "all are back on the old version")
+	require.Equal(t, 8, f.liveOn("v1"), "all VMs serve the old version again")
 	failed := 0
 	for _, a := range f.agents {
 		if a.failed[ref{"m", "v2"}] {
 			failed++
 		}
 	}
-	require.Equal(t, 2, failed, "one wave tried the bad version")
+	require.Equal(t, 2, failed, "the roll halts after one wave")
 	require.Equal(t, ReasonRollHalted, res.Unmet[0].Reason)
-	// Put back: the halt ends with the version.
+	// Another target version ends the halt.
 	f.inv.Rules[0].Version = "v3"
 	f.settle(t)
 	require.Equal(t, 8, f.liveOn("v3"))
@@ -134,7 +134,7 @@
 	res := f.settle(t)
 	require.Equal(t, 7, f.liveOn("v2"))
 	require.Empty(t, res.Unmet)
-	require.Equal(t, inventory.PhaseStage, f.agents[bad].wants[0].Phase, "remembered as failed")
+	require.Equal(t, inventory.PhaseStage, f.agents[bad].wants[0].Phase, "kept staged, so that the failure stays reported")
 }
 
 func TestVersionWithdrawnInMidRoll(t *testing.T) {
@@ -150,14 +150,14 @@
 	}
 	f.settle(t)
 	require.Equal(t, 8, f.liveOn("v1"))
-	// The record of the version disappears: what runs stays.
+	// A rule whose version is no longer declared keeps its replicas.
 	f.inv.Models = f.inv.Models[1:]
 	res := f.plan(t)
 	require.Empty(t, res.Assignments)
 	require.Equal(t, ReasonNoVersion, res.Unmet[0].Reason)
 }
 
-func TestDemandMovesBetweenRegions(t *testing.T) {
+func TestRuleMovesBetweenRegions(t *testing.T) {
 	rule := chatRule("v1", 3)
 	rule.Regions = []string{"a"}
 	f := newFleet(12, rule)
@@ -167,22 +167,22 @@
 	for range 10 {
 		f.plan(t)
 		f.stepAgents()
-		require.GreaterOrEqual(t, f.liveOn("v1"), 3, "the old region serves until the new one does")
+		require.GreaterOrEqual(t, f.liveOn("v1"), 3, "the old region serves until the new one serves")
 	}
 	f.settle(t)
 	require.Equal(t, map[string]int{"b1": 3}, f.perZone("v1"))
-	// A region without VMs takes nothing away below the minimum.
+	// A region without VMs takes no replicas down below the minimum.
 	f.inv.Rules[0].Regions = []string{"nowhere"}
 	res := f.settle(t)
 	require.Equal(t, 2, f.liveOn("v1"))
 	require.Equal(t, ReasonTooFewVMs, res.Unmet[0].Reason)
-	// The rule goes: so do its replicas.
+	// Deleting the rule removes its replicas.
 	f.inv.Rules = nil
 	f.settle(t)
 	require.Zero(t, f.liveOn("v1"))
 }
 
-func TestMinLiveOfAllCopies(t *testing.T) {
+func TestRollWithMinLiveEqualToCopies(t *testing.T) {
 	rule := chatRule("v1", 3)
 	rule.MinLive = 3
 	for _, tc := range []struct {
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestUnknownReportsTakeNothingAway(t *testing.T) {
+func TestMissingReportsTakeNoReplicaDown(t *testing.T) {
 	f := newFleet(8, chatRule("v1", 4))
 	f.settle(t)
 	f.inv.Rules[0].Version = "v2"
@@ -246,10 +246,10 @@
 	wants := f.agents[cut].wants
 	f.agents[cut].member.State = inventory.MemberDown
 	res := f.settle(t)
-	require.Equal(t, wants, f.agents[cut].wants, "it would be unloaded when it comes back")
+	require.Equal(t, wants, f.agents[cut].wants, "without it the VM would unload the replica when it is up again")
 	require.Len(t, res.Unmet, 1, "a VM that is down counts for no rule")
 	f.agents[cut].member.State = inventory.MemberUp
-	require.Empty(t, f.plan(t).Assignments, "its replica is chosen again as it is")
+	require.Empty(t, f.plan(t).Assignments, "its replica is chosen again")
 }
 
 func TestCanaryBesideTheMainRule(t *testing.T) {
--- a/internal/placement/property_test.go
+++ b/internal/placement/property_test.go
@@ -13,10 +13,10 @@
 	_ "lynxgate.dev/lynxgate/internal/testseed" // the same schedules every run
 )
 
-// assertSafe plans, and checks that no VM is asked for more than it can hold
-// and that the plan's own acts take no service below its minimum.
+// assertSafe plans, and checks that each VM has at most one active version and
+// that the plan takes no rule below its minimum of live replicas.
 func assertSafe(t *rapid.T, f *fleet) {
-	f.input() // passes the reports on
+	f.input() // updates f.reports
 	before := servedAsReported(f)
 	assigned := map[string][]inventory.Want{}
 	for name, a := range f.agents {
@@ -39,14 +39,14 @@
 		}
 		require.LessOrEqual(t, active, 1, name)
 		if a.member.State == inventory.MemberDown {
-			require.Equal(t, assigned[name], a.wants, "%s is down: left as it was", name)
+			require.Equal(t, assigned[name], a.wants, "%s is down and keeps its assignment", name)
 		}
 	}
 }
 
-// servedAsReported counts, by rule, the VMs in service that report live what
-// they are assigned. The rules of notes share no VM; the one of chat counts
-// VMs outside its zones too, since they stand in when it moves.
+// servedAsReported counts, by rule, the serving VMs that report their active
+// version as live. The rules of notes share no VM. The rule of chat counts VMs
+// outside its zones too, since they replace its own when its zones change.
 func servedAsReported(f *fleet) map[string]int {
 	served := map[string]int{}
 	for name, a := range f.agents {
@@ -73,7 +73,7 @@
 	return a.member.State == inventory.MemberUp && !f.vm(a.member.VM).Drained
 }
 
-// floorOf works a rule's minimum of live replicas out from the rule alone.
+// floorOf computes a rule's minimum of live replicas independently of Plan.
 func floorOf(f *fleet, rule inventory.Rule) int {
 	if rule.MinLive > 0 {
 		return min(rule.MinLive, rule.Copies)
@@ -109,7 +109,8 @@
 	return zones
 }
 
-// newMixedFleet has a service with one rule and one with a rule per region.
+// newMixedFleet returns a fleet with a service that has one rule and a service
+// that has one rule per region.
 func newMixedFleet(t *rapid.T) *fleet {
 	f := newFleet(0, chatRule("v1", rapid.IntRange(1, 8).Draw(t, "copies")))
 	f.lag = map[string]bool{}
@@ -134,7 +135,7 @@
 	return f
 }
 
-// event lets one thing happen to the fleet.
+// event applies one random event to the fleet.
 func event(t *rapid.T, f *fleet) {
 	a := f.agents[rapid.SampledFrom(f.names()).Draw(t, "vm")]
 	rule := &f.inv.Rules[rapid.IntRange(0, len(f.inv.Rules)-1).Draw(t, "rule")]
@@ -175,7 +176,7 @@
 	}
 }
 
-func TestPlanUnderAnyEvents(t *testing.T) {
+func TestPlanIsSafeUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newMixedFleet(t)
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
@@ -189,44 +190,45 @@
 		}
 		f.settle(t)
 		chat := f.inv.Rules[0]
-		// A roll without room may stand still; everything else is met.
+		// min_live may block the roll; without it the rule must be met.
 		if chat.MinLive == 0 {
 			requireMet(t, f, chat)
 		}
 	})
 }
 
-// requireMet checks copies and spread of the only rule of its service.
-// Replicas outside its zones stay only while the zones have fewer VMs than
-// the minimum that stays live.
+// requireMet checks the copies and their spread for the only rule of a service.
+// Replicas outside its zones are allowed only while its zones have fewer VMs than
+// the minimum of live replicas.
 func requireMet(t *rapid.T, f *fleet, rule inventory.Rule) {
 	zones := f.perZoneOf(rule.Service, rule.Version)
-	room := eligiblePerZone(f, rule)
+	available := eligiblePerZone(f, rule)
 	short := eligible(f, rule) < rule.Copies-max(1, rule.Copies/4)
 	total, most := 0, 0
 	for zone, n := range zones {
 		total += n
-		if room[zone] == 0 {
-			require.True(t, short, "replica in %s: %v of %v", zone, zones, room)
+		if available[zone] == 0 {
+			require.True(t, short, "replica in %s: %v of %v", zone, zones, available)
 			continue
 		}
 		most = max(most, n)
-		require.LessOrEqual(t, n, room[zone])
+		require.LessOrEqual(t, n, available[zone])
 	}
 	require.GreaterOrEqual(t, total, min(rule.Copies, eligible(f, rule)))
-	for zone, n := range room {
+	for zone, n := range available {
 		require.GreaterOrEqual(t, zones[zone], min(n, most-1), "zone %s of %v", zone, zones)
 	}
 }
 
-// TestDeathsCostFewMoves checks that each death gives work to one VM at most.
-func TestDeathsCostFewMoves(t *testing.T) {
+// TestEachDownVMCausesAtMostOneMove checks that each VM that goes down causes an
+// assignment change on at most one other VM.
+func TestEachDownVMCausesAtMostOneMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newMixedFleet(t)
 		f.settle(t)
-		dead := rapid.IntRange(1, 4).Draw(t, "dead")
+		down := rapid.IntRange(1, 4).Draw(t, "dead")
 		lost := 0
-		for range dead {
+		for range down {
 			a := f.agents[rapid.SampledFrom(f.names()).Draw(t, "vm")]
 			if len(a.wants) > 0 && a.member.State == inventory.MemberUp {
 				lost++
@@ -241,13 +243,13 @@
 			}
 		}
 		require.LessOrEqual(t, gained, lost)
-		require.LessOrEqual(t, lost, dead)
-		require.Empty(t, f.settleMoves(t), "no moves after the repair")
+		require.LessOrEqual(t, lost, down)
+		require.Empty(t, f.settleMoves(t), "no moves after the replacement")
 	})
 }
 
-// BenchmarkPlan measures one plan at the target size, once settled and once
-// with a change of version that touches every VM.
+// BenchmarkPlan measures one plan at the target size: settled, and with a version
+// change that affects every VM.
 func BenchmarkPlan(b *testing.B) {
 	for _, version := range []string{"v1", "v2"} {
 		b.Run(map[string]string{"v1": "settled", "v2": "version-change"}[version], func(b *testing.B) {
@@ -263,7 +265,7 @@
 	}
 }
 
-// targetSize is a settled input of 1,100 VMs, 12 zones and 10 rules.
+// targetSize returns a settled input of 1,100 VMs, 12 zones and 10 rules.
 func targetSize() Input {
 	f := &fleet{agents: map[string]*agent{}}
 	for i := range 12 {
--- a/internal/placement/release.go
+++ b/internal/placement/release.go
@@ -6,15 +6,15 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// servicePool is what the rules of one service share: the VMs that no rule
-// chose but that still hold a replica.
+// servicePool holds the rules of one service and the VMs that they share:
+// those that no rule chose but that still hold a replica.
 type servicePool struct {
 	service string
 	rules   []*ruleState
 	// released VMs hold a replica and are chosen by no rule.
 	released []*vmState
-	// taken counts the live replicas that this plan takes down in rolls.
-	taken int
+	// takenDown counts the live replicas that rolls of this plan take down.
+	takenDown int
 }
 
 // pools groups the rules by service, in order of service name.
@@ -34,51 +34,52 @@
 	return pools
 }
 
-// recount finds the released VMs anew.
-func (pool *servicePool) recount(p *planner) {
+// findReleased rebuilds the list of released VMs.
+func (pool *servicePool) findReleased(p *planner) {
 	pool.released = pool.released[:0]
 	for _, v := range p.byService[pool.service] {
-		if v.owner == nil {
+		if v.chosenBy == nil {
 			pool.released = append(pool.released, v)
 		}
 	}
 }
 
-// credit counts the released live replicas that stand in for a rule's own:
-// those in its zones that no other rule counts on.
+// credit counts the released live replicas that may replace a rule's own: those
+// in its zones that are not credited to another rule.
 func (pool *servicePool) credit(r *ruleState) int {
 	n := 0
 	for _, v := range pool.released {
-		if v.live() && r.allows(v.zone) && !v.lent {
+		if v.live() && r.allows(v.zone) && !v.credited {
 			n++
 		}
 	}
 	return n
 }
 
-// room is how many live replicas a rule may take down: those above its floor,
-// and the released ones that stand in.
-func (pool *servicePool) room(r *ruleState, floor int) int {
+// disruptionBudget returns the number of live replicas that a rule may take
+// down: those above its floor, and the released ones credited to it.
+func (pool *servicePool) disruptionBudget(r *ruleState, floor int) int {
 	return r.live() - floor + pool.credit(r)
 }
 
-// take notes that a rule takes n live replicas down. What exceeds the rule's
-// own surplus is lent by released ones, so that no other rule counts on them.
-func (pool *servicePool) take(r *ruleState, floor, n int) {
-	pool.taken += n
-	borrowed := n - max(0, r.live()-floor)
+// takeDown records that a rule takes n live replicas down. Beyond the rule's own
+// surplus, released replicas are credited to it, so that no other rule counts
+// on them.
+func (pool *servicePool) takeDown(r *ruleState, floor, n int) {
+	pool.takenDown += n
+	excess := n - max(0, r.live()-floor)
 	for _, v := range pool.released {
-		if borrowed > 0 && v.live() && r.allows(v.zone) && !v.lent {
-			v.lent = true
-			borrowed--
+		if excess > 0 && v.live() && r.allows(v.zone) && !v.credited {
+			v.credited = true
+			excess--
 		}
 	}
 }
 
-// release takes replicas from VMs that no rule chose, each only when the
-// service has a live one too many.
+// release removes replicas from VMs that no rule chose; a live one only while
+// the service has more live replicas than its rules need.
 func (p *planner) release(pool *servicePool) {
-	need, live := 0, -pool.taken
+	need, live := 0, -pool.takenDown
 	settled := true
 	for _, r := range pool.rules {
 		need += max(len(r.holders), minLive(r.Rule, r.Copies))
@@ -101,22 +102,22 @@
 	for _, v := range pool.released {
 		switch {
 		case !v.hasActive || !v.mayBeLive():
-			p.remember(pool, v)
+			p.releaseVM(pool, v)
 		case !v.serving && settled:
-			p.remember(pool, v)
+			p.releaseVM(pool, v)
 		case v.live() && surplus > 0:
 			surplus--
-			p.remember(pool, v)
+			p.releaseVM(pool, v)
 		default:
 			p.keepActive(v)
 		}
 	}
 }
 
-// remember empties a VM but for versions it failed on that are still asked
-// for: they stay staged so that the failure goes on being reported and the
-// VM is not chosen again.
-func (p *planner) remember(pool *servicePool, v *vmState) {
+// releaseVM removes all wants from a VM, except for one version that failed
+// there and that a rule still targets: it stays staged, so that the agent keeps
+// reporting the failure and the VM is not chosen again.
+func (p *planner) releaseVM(pool *servicePool, v *vmState) {
 	delete(p.wants, v.name)
 	if !v.serving {
 		return
@@ -130,7 +131,7 @@
 	}
 }
 
-// keepActive leaves a VM what it serves and takes the rest away.
+// keepActive keeps the version that a VM serves and removes its other wants.
 func (p *planner) keepActive(v *vmState) {
 	for _, w := range p.in.Current[v.name].Wants {
 		if w.Service == v.service && w.Phase == inventory.PhaseActivate {
--- a/internal/placement/roll.go
+++ b/internal/placement/roll.go
@@ -15,10 +15,11 @@
 	minFailuresToHalt = 2
 )
 
-// waveSize is how many replicas a rule of so many copies may have down.
+// waveSize returns how many replicas of a rule may be down at once.
 func waveSize(copies int) int { return max(1, copies/waveDivisor) }
 
-// minLive is the number of replicas that stay live while copies are wanted.
+// minLive returns how many replicas stay live during a roll of a rule that has
+// this many copies.
 func minLive(rule inventory.Rule, copies int) int {
 	if rule.MinLive > 0 {
 		return min(rule.MinLive, rule.Copies)
@@ -26,12 +27,12 @@
 	return max(0, copies-waveSize(copies))
 }
 
-// haltAt is the number of failed VMs at which a roll takes no more old
+// haltAt returns the number of failed VMs at which a roll stops taking old
 // replicas down.
 func haltAt(copies int) int { return max(minFailuresToHalt, copies/waveDivisor) }
 
-// roll sets the wants of a rule's holders and switches as many from their
-// old version as the rule's minimum of live replicas allows.
+// roll sets the wants of a rule's holders and switches as many of them to the
+// target version as the rule's minimum of live replicas allows.
 func (p *planner) roll(pool *servicePool, r *ruleState) {
 	if r.frozen {
 		for _, v := range r.holders {
@@ -63,12 +64,12 @@
 	p.switchWave(pool, r, ready)
 }
 
-// switchWave activates the target on as many ready VMs as may lose their old
-// replica now.
+// switchWave activates the target on as many ready VMs as the disruption budget
+// allows.
 func (p *planner) switchWave(pool *servicePool, r *ruleState, ready []*vmState) {
 	floor := minLive(r.Rule, len(r.holders))
-	n := max(0, min(len(ready), pool.room(r, floor)))
-	pool.take(r, floor, n)
+	n := max(0, min(len(ready), pool.disruptionBudget(r, floor)))
+	pool.takeDown(r, floor, n)
 	sortForWave(ready)
 	for _, v := range ready[:n] {
 		p.wants[v.name] = []inventory.Want{
@@ -82,7 +83,7 @@
 	}
 }
 
-// setWants gives a holder the wants that take no live replica away.
+// setWants sets the wants of a holder without taking a live replica down.
 func (p *planner) setWants(r *ruleState, v *vmState, halted bool) {
 	if v.active == r.target {
 		p.wants[v.name] = p.wantsOnTarget(r, v)
@@ -100,8 +101,9 @@
 	}
 }
 
-// wantsOnTarget keeps the version served before staged until the target is
-// live, and goes back to it when the target failed.
+// wantsOnTarget returns the wants of a VM that is assigned the target. The
+// previous version stays staged until the target is live and is activated again
+// if the target fails.
 func (p *planner) wantsOnTarget(r *ruleState, v *vmState) []inventory.Want {
 	old, hasOld := v.fallback()
 	switch {
@@ -121,8 +123,8 @@
 	}
 }
 
-// replaceWithSpares lets spare VMs take the place of old replicas when the
-// rule has no room to take one down, or would take its last one down.
+// replaceWithSpares replaces old replicas by spare VMs when the rule may not
+// take a replica down, or would take down its last one.
 func (p *planner) replaceWithSpares(pool *servicePool, r *ruleState) {
 	copies := len(r.holders)
 	floor := max(1, minLive(r.Rule, copies))
@@ -136,15 +138,15 @@
 		}
 	}
 	for _, spare := range r.spares {
-		if quota > 0 && spare.owner == nil && r.replaceOld(spare) {
+		if quota > 0 && spare.chosenBy == nil && r.replaceOld(spare) {
 			quota--
 		}
 	}
-	pool.recount(p)
+	pool.findReleased(p)
 }
 
-// replaceOld puts the spare VM in the place of a holder that serves an old
-// version, where the spread over zones allows it.
+// replaceOld replaces a holder that serves an old version by the spare VM, if
+// the spread over zones allows it, and reports whether it did.
 func (r *ruleState) replaceOld(spare *vmState) bool {
 	counts := map[string]int{}
 	for _, v := range r.holders {
@@ -157,8 +159,8 @@
 		if v.zone != spare.zone && counts[spare.zone]+1 > counts[v.zone] {
 			continue
 		}
-		v.owner = nil
-		spare.owner = r
+		v.chosenBy = nil
+		spare.chosenBy = r
 		spare.assign(r.target)
 		r.holders[i] = spare
 		return true
@@ -166,7 +168,7 @@
 	return false
 }
 
-// replacing says that spare VMs are taking the place of old replicas.
+// replacing reports whether spare VMs are replacing old replicas.
 func (r *ruleState) replacing() bool {
 	for _, v := range r.holders {
 		if v.active == r.target && !v.live() {
@@ -176,18 +178,19 @@
 	return false
 }
 
-// sortForWave orders VMs so that a wave touches as many zones as it can.
+// sortForWave orders VMs round-robin over their zones, so that a wave touches as
+// many zones as possible.
 func sortForWave(vms []*vmState) {
 	seen := map[string]int{}
-	turn := make(map[*vmState]int, len(vms))
+	position := make(map[*vmState]int, len(vms))
 	for _, v := range vms {
-		turn[v] = seen[v.zone]
+		position[v] = seen[v.zone]
 		seen[v.zone]++
 	}
 	sort.SliceStable(vms, func(i, j int) bool {
 		a, b := vms[i], vms[j]
-		if turn[a] != turn[b] {
-			return turn[a] < turn[b]
+		if position[a] != position[b] {
+			return position[a] < position[b]
 		}
 		return a.zone < b.zone
 	})
@@ -203,7 +206,7 @@
 	}
 }
 
-// usable counts the holders that have not failed on the target.
+// usable counts the holders on which the target has not failed.
 func (r *ruleState) usable() int {
 	n := 0
 	for _, v := range r.holders {
@@ -214,7 +217,7 @@
 	return n
 }
 
-// keep leaves a VM's assignment as it is.
+// keep copies the VM's wants in force for its service into the plan.
 func (p *planner) keep(v *vmState) {
 	for _, w := range p.in.Current[v.name].Wants {
 		if w.Service == v.service {
--- a/internal/placement/select.go
+++ b/internal/placement/select.go
@@ -2,22 +2,22 @@
 
 import "sort"
 
-// rank orders the VMs a rule may choose; the lower the fewer moves it costs.
+// rank orders the VMs that a rule may choose; a lower rank costs fewer moves.
 type rank int
 
-// The ranks. Those from rankFailedOnOld on are used only when nothing better is
-// left, in any zone.
+// The ranks. Those from rankFailedOnOld on are used only when no zone has a
+// better one left.
 const (
 	rankLive          rank = iota // serves the target
-	rankComing                    // is assigned the target, not live yet
+	rankAssigned                  // is assigned the target, not live yet
 	rankOldStaging                // serves another version and stages the target
 	rankOldLive                   // serves another version of the rule's service
 	rankOld                       // is assigned another version, not live
 	rankStaged                    // holds the target's weights only
 	rankEmpty                     // holds nothing
-	rankOtherRule                 // serves what another rule of the service asks for
-	rankFailedOnOld               // failed on the target, serves another version
-	rankFailedOnEmpty             // failed on the target, serves nothing
+	rankOtherRule                 // serves the target of another rule of the service
+	rankFailedOnOld               // target failed, serves another version
+	rankFailedOnEmpty             // target failed, serves nothing
 )
 
 func (p *planner) rankOf(r *ruleState, v *vmState) rank {
@@ -31,8 +31,8 @@
 	case v.hasActive && v.active == r.target && v.live():
 		return rankLive
 	case v.hasActive && v.active == r.target:
-		return rankComing
-	case v.hasActive && p.askedByOther(r, v):
+		return rankAssigned
+	case v.hasActive && p.targetOfOther(r, v):
 		if v.mayBeLive() {
 			return rankOtherRule
 		}
@@ -50,9 +50,9 @@
 	}
 }
 
-// askedByOther says that another rule of the service could choose the VM for
-// the version it is assigned.
-func (p *planner) askedByOther(r *ruleState, v *vmState) bool {
+// targetOfOther reports whether another rule of the service could choose the VM
+// for the version that it is assigned.
+func (p *planner) targetOfOther(r *ruleState, v *vmState) bool {
 	for _, other := range p.byRuleService[r.Service] {
 		if other != r && other.target == v.active && other.allows(v.zone) {
 			return true
@@ -67,18 +67,18 @@
 	rank rank
 }
 
-// zoneCandidates are one zone's candidates, best first.
+// zoneCandidates holds the candidates of one zone, sorted by rank. The first
+// chosen of them have been chosen.
 type zoneCandidates struct {
 	zone, region string
 	list         []candidate
-	taken        int
+	chosen       int
 }
 
-func (z *zoneCandidates) next() candidate { return z.list[z.taken] }
+func (z *zoneCandidates) next() candidate { return z.list[z.chosen] }
 
-// selectHolders chooses the VMs of a rule, as evenly over its zones as the
-// VMs allow; on a tie the VM with the better rank wins, then the region with
-// fewer copies.
+// selectHolders chooses the VMs of a rule, as evenly over its zones as possible.
+// Ties go to the VM with the lower rank, then to the region with fewer copies.
 func (p *planner) selectHolders(r *ruleState) {
 	zones := p.candidates(r)
 	regionCopies := map[string]int{}
@@ -90,13 +90,13 @@
 			}
 			v := z.next().vm
 			r.choose(v)
-			z.taken++
+			z.chosen++
 			regionCopies[z.region]++
 			r.holders = append(r.holders, v)
 		}
 	}
 	for _, z := range zones {
-		for _, c := range z.list[z.taken:] {
+		for _, c := range z.list[z.chosen:] {
 			if c.rank <= rankOtherRule && !c.vm.mayBeLive() {
 				r.spares = append(r.spares, c.vm)
 			}
@@ -107,10 +107,10 @@
 	}
 }
 
-// choose makes the rule the VM's owner; one that serves nothing is assigned
-// the target.
+// choose records that the rule chose the VM, and assigns the target to a VM that
+// has no active version.
 func (r *ruleState) choose(v *vmState) {
-	v.owner = r
+	v.chosenBy = r
 	if !v.hasActive {
 		v.assign(r.target)
 	}
@@ -120,7 +120,7 @@
 	byZone := map[string]*zoneCandidates{}
 	var zones []*zoneCandidates
 	for _, v := range p.byService[r.Service] {
-		if !v.serving || v.owner != nil || !r.allows(v.zone) {
+		if !v.serving || v.chosenBy != nil || !r.allows(v.zone) {
 			continue
 		}
 		if r.frozen && !v.hasActive {
@@ -141,12 +141,12 @@
 	return zones
 }
 
-// nextZone returns the zone that takes the next copy, or nil when no zone
-// has a candidate within the limit.
+// nextZone returns the zone that gets the next copy, or nil if no zone has a
+// candidate within the limit.
 func nextZone(zones []*zoneCandidates, regionCopies map[string]int, limit rank) *zoneCandidates {
 	var best *zoneCandidates
 	for _, z := range zones {
-		if z.taken == len(z.list) || z.next().rank > limit {
+		if z.chosen == len(z.list) || z.next().rank > limit {
 			continue
 		}
 		if best == nil || betterZone(z, best, regionCopies) {
@@ -157,8 +157,8 @@
 }
 
 func betterZone(a, b *zoneCandidates, regionCopies map[string]int) bool {
-	if a.taken != b.taken {
-		return a.taken < b.taken
+	if a.chosen != b.chosen {
+		return a.chosen < b.chosen
 	}
 	if a.next().rank != b.next().rank {
 		return a.next().rank < b.next().rank
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -7,10 +7,10 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// ref names a model version.
+// ref identifies a model version.
 type ref struct{ model, version string }
 
-// vmState is one VM whose agent is up or leaving, as the plan sees it.
+// vmState is the planner's state of one VM whose agent is up or leaving.
 type vmState struct {
 	name    string
 	zone    string
@@ -22,18 +22,18 @@
 	// reported is false until the VM's first report.
 	reported bool
 	reports  []Replica
-	// active is the version that the assignment in force activates.
+	// active is the version that the assignment activates.
 	active    ref
 	hasActive bool
-	// staged are the other versions of the assignment in force.
+	// staged are the other versions of the assignment.
 	staged []ref
-	// lent is true when a rule counts the released replica as its own.
-	lent bool
-	// owner is the rule that chose the VM in this plan.
-	owner *ruleState
+	// credited is true when a rule counts the released replica as its own.
+	credited bool
+	// chosenBy is the rule that chose the VM in this plan.
+	chosenBy *ruleState
 }
 
-// phase is what the VM reports of a version; empty for nothing.
+// phase returns the reported phase of a version, empty if there is none.
 func (v *vmState) phase(r ref) ReplicaPhase {
 	for i := range v.reports {
 		if v.reports[i].Version == r.version && v.reports[i].Model == r.model {
@@ -43,25 +43,26 @@
 	return ""
 }
 
-// live says that the assigned version is known to be served.
+// live reports whether the VM is known to serve its active version.
 func (v *vmState) live() bool {
 	return v.serving && v.hasActive && v.phase(v.active) == ReplicaLive
 }
 
-// mayBeLive says that taking the assigned version away may end a live replica.
+// mayBeLive reports whether the active version is live or, before the VM's first
+// report, may be live.
 func (v *vmState) mayBeLive() bool {
 	return v.hasActive && (!v.reported || v.phase(v.active) == ReplicaLive)
 }
 
 func (v *vmState) failed(r ref) bool { return v.phase(r) == ReplicaFailed }
 
-// assign notes that this plan activates another version on the VM.
+// assign records that this plan activates another version on the VM.
 func (v *vmState) assign(r ref) {
 	v.active, v.hasActive = r, true
 	v.staged = nil
 }
 
-// fallback is the version that the VM served before its switch, if the
+// fallback returns the version that the VM served before its switch, if the
 // assignment still stages it.
 func (v *vmState) fallback() (ref, bool) {
 	if len(v.staged) == 0 {
@@ -79,17 +80,17 @@
 	return false
 }
 
-// ruleState is one rule and what the plan has found for it.
+// ruleState is the planner's state of one rule.
 type ruleState struct {
 	inventory.Rule
 	target ref
-	// frozen rules name something that is not declared: what runs is kept,
-	// nothing new is placed.
+	// frozen rules refer to something that is not declared: replicas that run
+	// are kept, no new ones are placed.
 	frozen bool
-	// zones are those that a restricted rule allows; nil allows any.
+	// zones are the allowed zones; nil allows any.
 	zones   map[string]bool
 	holders []*vmState
-	// spares are VMs that no rule needs and that serve nothing.
+	// spares are unchosen VMs that serve nothing.
 	spares []*vmState
 	unmet  []Unmet
 }
@@ -111,7 +112,7 @@
 	return n
 }
 
-// failures counts the VMs known to have failed on the target.
+// failures counts the VMs that report a failure of the target.
 func (r *ruleState) failures(vms []*vmState) int {
 	n := 0
 	for _, v := range vms {
@@ -122,7 +123,7 @@
 	return n
 }
 
-// planner holds the working state of one Plan call.
+// planner holds the state of one planning round.
 type planner struct {
 	in        Input
 	byService map[string][]*vmState
@@ -177,10 +178,10 @@
 	}
 }
 
-// keepDown leaves a VM that is down what it was assigned. It counts for no
-// rule, and copies are made elsewhere; if it comes back, as after a network
-// cut, its replicas are still loaded and the plan can choose them again
-// instead of having them unloaded first.
+// keepDown keeps the assignment of a VM that is down. The VM counts for no rule,
+// and its copies are placed elsewhere. If the VM was only cut off by the network,
+// its replicas are still loaded when it is up again, and the plan can choose them
+// instead of having them unloaded.
 func (p *planner) keepDown(vm string) {
 	if wants := p.in.Current[vm].Wants; len(wants) > 0 {
 		p.wants[vm] = wants
@@ -239,8 +240,8 @@
 	r.report(reason, 0)
 }
 
-// sortRules puts rules with fewer allowed zones first, so that a rule that
-// may stand anywhere does not take the VMs that a restricted one needs.
+// sortRules sorts rules with fewer allowed zones first, so that an unrestricted
+// rule does not take the VMs that a restricted one needs.
 func (p *planner) sortRules() {
 	sort.SliceStable(p.rules, func(i, j int) bool {
 		a, b := p.rules[i], p.rules[j]
@@ -254,8 +255,8 @@
 	})
 }
 
-// allowedZones returns the zones of a restricted rule, nil for one that is
-// not.
+// allowedZones returns the zones that a rule allows, nil for an unrestricted
+// rule.
 func allowedZones(rule inventory.Rule, regions map[string]string) map[string]bool {
 	if len(rule.Zones) == 0 && len(rule.Regions) == 0 {
 		return nil
