--- a/internal/inventory/change.go
+++ b/internal/inventory/change.go
@@ -9,11 +9,10 @@
 	"strings"
 )
 
-// ValidateChange checks that the changes can be made to the current records
-// and that the state after them is valid as a whole. It returns what is
-// wrong, nil when nothing is. It depends on its arguments only, so that
-// every control server comes to the same verdict. Derived keys in current
-// are passed over; changes of them are refused.
+// ValidateChange checks the changes, and the inventory that results from applying
+// them to the current records. It returns the problems, nil if there are none. It
+// depends on its arguments only, so that all control servers get the same result.
+// Derived keys in current are ignored; changes of derived keys are refused.
 func ValidateChange(current map[string][]byte, changes []Change) []string {
 	if len(changes) == 0 {
 		return []string{"the request holds no changes"}
@@ -28,8 +27,8 @@
 	return append(changedManifests(current, changes), faultTexts(inv.Validate())...)
 }
 
-// changedManifests finds model versions in force that would get other
-// weights. A version is what requests are pinned to, so its weights stay.
+// changedManifests reports changes that would replace the weights of a declared
+// model version. Requests are pinned to a version, so its weights never change.
 func changedManifests(current map[string][]byte, changes []Change) []string {
 	var problems []string
 	for _, change := range changes {
@@ -85,7 +84,7 @@
 	return texts
 }
 
-// ApplyChanges returns the records with the changes made; records stays as it was.
+// ApplyChanges returns a copy of records with the changes applied.
 func ApplyChanges(records map[string][]byte, changes []Change) map[string][]byte {
 	after := maps.Clone(records)
 	if after == nil {
@@ -102,8 +101,8 @@
 }
 
 // Diff returns the changes that turn the declared records of before into
-// those of after, sorted by key. Records that differ in JSON layout only
-// are the same.
+// those of after, sorted by key. Records that differ in JSON layout only count
+// as equal.
 func Diff(before, after map[string][]byte) []Change {
 	var changes []Change
 	for key, value := range after {
@@ -162,7 +161,7 @@
 	return string(value)
 }
 
-// sameJSON compares two JSON texts by what they hold.
+// sameJSON reports whether two JSON texts have the same content.
 func sameJSON(a, b []byte) bool {
 	if a == nil || b == nil {
 		return a == nil && b == nil
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,14 +1,14 @@
-// Package inventory defines what operators declare: zones, VMs, services,
-// organisations, model versions and rules. It also defines the records the
-// control state derives from them (members and assignments), and the keys
-// under which all of these live in the replicated key space.
+// Package inventory defines the records that operators declare: zones, VMs,
+// services, organisations, model versions and rules. It also defines the derived
+// records, which the control servers write (members and assignments), and the
+// keys of all records in the replicated key space.
 //
-// The package holds types and pure functions only; it keeps no state.
+// The package has types and pure functions only; it keeps no state.
 package inventory
 
 import "time"
 
-// Zone is an availability zone, a place that can fail as a whole.
+// Zone is an availability zone, a failure domain.
 type Zone struct {
 	// Name of the availability zone.
 	Name string `json:"name" toml:"name"`
@@ -20,7 +20,7 @@
 type VM struct {
 	// Name of the VM, the same as in its agent's settings.
 	Name string `json:"name" toml:"name"`
-	// Zone the VM stands in; it must be declared.
+	// Zone of the VM; it must be declared.
 	Zone string `json:"zone" toml:"zone"`
 	// Capacity is how many model replicas the VM can hold at once; 0 means 1.
 	Capacity int `json:"capacity,omitempty" toml:"capacity"`
@@ -28,7 +28,7 @@
 	Drained bool `json:"drained,omitempty" toml:"drained"`
 }
 
-// ServiceKind tells model services from plain ones.
+// ServiceKind distinguishes model services from plain ones.
 type ServiceKind string
 
 // The kinds of service.
@@ -37,13 +37,13 @@
 	KindPlain ServiceKind = "plain"
 )
 
-// Service is something callers ask for by name.
+// Service is a service that callers address by name.
 type Service struct {
-	// Name that callers ask for.
+	// Name by which callers address the service.
 	Name string `json:"name" toml:"name"`
 	// Kind is "model" or "plain".
 	Kind ServiceKind `json:"kind" toml:"kind"`
-	// Model is the model a model service answers with.
+	// Model is the model that a model service serves.
 	Model string `json:"model,omitempty" toml:"model"`
 	// Paths hold rules for calls below a path prefix; the longest match applies.
 	Paths []PathRule `json:"paths,omitempty" toml:"path"`
@@ -51,7 +51,7 @@
 	Priority int `json:"priority,omitempty" toml:"priority"`
 }
 
-// PathRule says how calls below a path prefix may be treated.
+// PathRule sets how calls below a path prefix are treated.
 type PathRule struct {
 	// Prefix of the paths below the service, beginning with "/".
 	Prefix string `json:"prefix" toml:"prefix"`
@@ -59,11 +59,11 @@
 	AtMostOnce bool `json:"at_most_once,omitempty" toml:"at_most_once"`
 	// Idempotent calls may be retried by the system even if they may have run.
 	Idempotent bool `json:"idempotent,omitempty" toml:"idempotent"`
-	// Priority overrides the service's where it is set.
+	// Priority overrides the service's priority if set.
 	Priority *int `json:"priority,omitempty" toml:"priority"`
 }
 
-// Organisation is a customer whose callers share keys and limits.
+// Organisation is a group of callers with common API keys and limits.
 type Organisation struct {
 	// Name of the organisation.
 	Name string `json:"name" toml:"name"`
@@ -73,7 +73,7 @@
 	Weight int `json:"weight,omitempty" toml:"weight"`
 	// RequestsPerSecond is the limit per entry process; 0 means no limit.
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty" toml:"requests_per_second"`
-	// Concurrency is the limit of requests at once per entry process; 0
+	// Concurrency is the limit of concurrent requests per entry process; 0
 	// means no limit.
 	Concurrency int `json:"concurrency,omitempty" toml:"concurrency"`
 	// TokensPerSecond is the limit per entry process; 0 means no limit.
@@ -91,7 +91,7 @@
 	// Origin is the base URL that serves the manifest and the weights file.
 	Origin string `json:"origin" toml:"origin"`
 	// Store is the base URL of a rate-limited weight store with the same
-	// files, asked when the origin does not answer; may be empty.
+	// files, used when the origin does not respond; may be empty.
 	Store string `json:"store,omitempty" toml:"store"`
 }
 
@@ -113,22 +113,23 @@
 	Name string `json:"name" toml:"name"`
 	// Service whose model is placed; a declared model service.
 	Service string `json:"service" toml:"service"`
-	// Version of the service's model that shall be live.
+	// Version of the service's model to serve.
 	Version string `json:"version" toml:"version"`
 	// Copies is the number of replicas wanted.
 	Copies int `json:"copies" toml:"copies"`
-	// Zones that replicas may stand in; empty means anywhere.
+	// Zones in which replicas may be placed; empty means all zones.
 	Zones []string `json:"zones,omitempty" toml:"zones"`
-	// Regions that replicas may stand in; empty means anywhere.
+	// Regions in which replicas may be placed; empty means all regions.
 	Regions []string `json:"regions,omitempty" toml:"regions"`
-	// MinLive replicas stay live while a new version is brought up.
+	// MinLive is the number of replicas that stay live while a new version is
+	// rolled out.
 	MinLive int `json:"min_live,omitempty" toml:"min_live"`
 	// Prefer decides how transfers behave after faults: "time", the default,
-	// asks the origin again soon; "origin-bytes" waits longer for peers.
+	// retries the origin soon; "origin-bytes" waits longer for peers.
 	Prefer Preference `json:"prefer,omitempty" toml:"prefer"`
 }
 
-// MemberState is where a member stands in its life.
+// MemberState is the state of a member.
 type MemberState string
 
 // The states of a member.
@@ -144,7 +145,7 @@
 	Zone    string `json:"zone"`
 	Addr    string `json:"addr"`
 	Service string `json:"service"`
-	// Incarnation rises with every start of the agent.
+	// Incarnation increases with every start of the agent.
 	Incarnation   uint64      `json:"incarnation"`
 	State         MemberState `json:"state"`
 	ChecksFencing bool        `json:"checks_fencing,omitempty"`
@@ -152,7 +153,7 @@
 	AdminAddr     string      `json:"admin_addr,omitempty"`
 }
 
-// Phase is how far an agent shall bring an assigned model version.
+// Phase is the phase to which an agent brings an assigned model version.
 type Phase string
 
 // The phases of an assignment.
@@ -172,15 +173,15 @@
 	Prefer  Preference `json:"prefer,omitempty"`
 }
 
-// Assignment is the desired state of one VM. The fence rises with every
-// change of the VM's assignment and goes with the orders to its engine.
+// Assignment is the desired state of one VM. Fence is the fencing token of the
+// orders to the VM's engine; it increases with every change of the assignment.
 type Assignment struct {
 	VM    string `json:"vm"`
 	Zone  string `json:"zone"`
 	Addr  string `json:"addr"`
 	Fence uint64 `json:"fence"`
-	// First is true for the first assignment of a VM, so that no order of an
-	// earlier one can be under way to its engine.
+	// First is true for the first assignment of a VM: no order of an earlier
+	// assignment can still be in flight to its engine.
 	First bool   `json:"first,omitempty"`
 	Wants []Want `json:"wants"`
 }
@@ -202,8 +203,8 @@
 	PrefixZone, PrefixVM, PrefixService, PrefixOrganisation, PrefixModel, PrefixRule,
 }
 
-// Inventory is a whole set of declarations, as read from files or as held in
-// the key space.
+// Inventory is a complete set of declarations, read from files or from the key
+// space.
 type Inventory struct {
 	Zones         []Zone         `json:"zones,omitempty" toml:"zone"`
 	VMs           []VM           `json:"vms,omitempty" toml:"vm"`
@@ -220,14 +221,14 @@
 	Value []byte `json:"value,omitempty"`
 }
 
-// ChangeRequest is what an operator asks for. Either all changes are
-// accepted in one revision or none.
+// ChangeRequest is an operator's request to change declared records. Either all
+// changes are accepted in one revision or none.
 type ChangeRequest struct {
-	// OperationID is chosen by the operator's tool; resending it returns
-	// the first result.
+	// OperationID is chosen by the operator's tool; a repeated request with
+	// the same ID returns the result of the first.
 	OperationID string `json:"operation_id"`
-	// BaseRevision is the revision the changes were made from. A declared
-	// key changed after it makes the request a conflict.
+	// BaseRevision is the revision that the changes are based on. The request
+	// is a conflict if one of its keys was changed after that revision.
 	BaseRevision uint64   `json:"base_revision"`
 	Operator     string   `json:"operator"`
 	Changes      []Change `json:"changes"`
@@ -248,13 +249,13 @@
 	Verdict Verdict `json:"verdict"`
 	// Revision that the change made, or the one in force for a conflict.
 	Revision uint64 `json:"revision"`
-	// Problems name what was wrong with an invalid request.
+	// Problems are the validation errors of an invalid request.
 	Problems []string `json:"problems,omitempty"`
-	// Repeated is true when the operation had been carried out before.
+	// Repeated is true if the operation was carried out by an earlier request.
 	Repeated bool `json:"repeated,omitempty"`
 }
 
-// AuditRecord is the trace of one accepted change.
+// AuditRecord is the audit entry of one accepted change request.
 type AuditRecord struct {
 	Revision    uint64    `json:"revision"`
 	Time        time.Time `json:"time"`
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -17,8 +17,8 @@
 	hashB = "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb"
 )
 
-// sound is a small inventory without faults.
-func sound() Inventory {
+// validInventory returns a small inventory without faults.
+func validInventory() Inventory {
 	return Inventory{
 		Zones:    []Zone{{Name: "stgo-a", Region: "santiago"}},
 		VMs:      []VM{{Name: "vm-1", Zone: "stgo-a"}},
@@ -31,12 +31,12 @@
 	}
 }
 
-func TestValidateNamesEachFault(t *testing.T) {
-	require.Empty(t, sound().Validate())
+func TestValidateReportsEachFault(t *testing.T) {
+	require.Empty(t, validInventory().Validate())
 	level := 12
 	cases := map[string]struct {
-		spoil func(*Inventory)
-		want  []string
+		mutate func(*Inventory)
+		want   []string
 	}{
 		"bad name":       {func(i *Inventory) { i.Zones[0].Name = "st go" }, []string{`zone/st go: name: "st go" is not a name; allowed: ` + AllowedName, `vm/vm-1: zone: zone "stgo-a" is not declared`}},
 		"no region":      {func(i *Inventory) { i.Zones[0].Region = "" }, []string{"zone/stgo-a: region: is missing"}},
@@ -68,15 +68,15 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			inv := sound()
-			c.spoil(&inv)
+			inv := validInventory()
+			c.mutate(&inv)
 			require.Equal(t, c.want, faultTexts(inv.Validate()))
 		})
 	}
 }
 
 func TestValidateChange(t *testing.T) {
-	current := sound().Records()
+	current := validInventory().Records()
 	current["member/vm-1"] = []byte(`{"vm":"vm-1"}`)
 	cases := map[string]struct {
 		changes []Change
@@ -99,12 +99,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			require.Equal(t, c.want, ValidateChange(current, c.changes))
-			require.Len(t, current, len(sound().Records())+1, "the current records are left alone")
+			require.Len(t, current, len(validInventory().Records())+1, "the current records are not modified")
 		})
 	}
 }
 
-// drawInventory makes an inventory with unique keys; it need not be valid.
+// drawInventory draws an inventory with unique keys; it need not be valid.
 func drawInventory(t *rapid.T, label string) Inventory {
 	name := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 	unique := func(kind string) []string {
@@ -133,7 +133,7 @@
 		target := drawInventory(t, "target")
 		changes := Diff(before, target.Records())
 		after := ApplyChanges(before, changes)
-		require.Contains(t, after, "assign/a", "derived keys are left alone")
+		require.Contains(t, after, "assign/a", "derived keys are not changed")
 		delete(after, "assign/a")
 		require.Equal(t, target.Records(), after)
 		require.Empty(t, Diff(after, target.Records()))
@@ -154,7 +154,7 @@
 		Describe(before, Change{Key: "rule/copy", Value: []byte(`{"prefer":"time","copies":3,"name":"copy"}`)}))
 }
 
-func TestLoadMergesFilesAndNamesEachFault(t *testing.T) {
+func TestLoadMergesFilesAndReportsEachFault(t *testing.T) {
 	dir := t.TempDir()
 	places := filepath.Join(dir, "a-places.toml")
 	rules := filepath.Join(dir, "b-rules.toml")
--- a/internal/inventory/load.go
+++ b/internal/inventory/load.go
@@ -12,12 +12,13 @@
 // Declaration is an inventory read from files.
 type Declaration struct {
 	Inventory Inventory
-	// SetsDrained holds the VMs whose files say whether they are drained.
+	// SetsDrained holds the VMs whose declarations set the drained field.
 	SetsDrained map[string]bool
 }
 
 // Load reads TOML files, and the *.toml files of folders, merges them and
-// checks the whole. The error is a tomlfile.Problems that holds every fault.
+// validates the result. Validation errors are returned as a tomlfile.Problems
+// that lists all of them.
 func Load(paths ...string) (Declaration, error) {
 	return load(paths, Inventory.Validate)
 }
@@ -28,17 +29,17 @@
 	return load(paths, Inventory.ValidateRecords)
 }
 
-// origin is the place of a record in its file.
-type origin struct {
+// location is the file of a record and its index in its table.
+type location struct {
 	doc   *tomlfile.Document
 	index int
 }
 
-// merger collects the records of several files and where each came from.
+// merger collects the records of several files and the location of each.
 type merger struct {
 	declaration Declaration
 	docs        []*tomlfile.Document
-	origins     map[string][]origin
+	locations   map[string][]location
 }
 
 func load(paths []string, validate func(Inventory) []Fault) (Declaration, error) {
@@ -48,7 +49,7 @@
 	}
 	m := merger{
 		declaration: Declaration{SetsDrained: map[string]bool{}},
-		origins:     map[string][]origin{},
+		locations:   map[string][]location{},
 	}
 	for _, file := range files {
 		data, err := os.ReadFile(file)
@@ -88,12 +89,12 @@
 func mergeTable[T any](m *merger, doc *tomlfile.Document, table string, whole *[]T, part []T) {
 	for i, item := range part {
 		*whole = append(*whole, item)
-		m.origins[table] = append(m.origins[table], origin{doc: doc, index: i})
+		m.locations[table] = append(m.locations[table], location{doc: doc, index: i})
 	}
 }
 
 func (m *merger) report(fault Fault) {
-	from := m.origins[fault.Table][fault.Index]
+	from := m.locations[fault.Table][fault.Index]
 	key := fmt.Sprintf("%s[%d]", fault.Table, from.index)
 	if fault.Field != "" {
 		key += "." + fault.Field
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -23,8 +23,8 @@
 	return slices.ContainsFunc(Declared, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// Records returns the inventory as key space records, JSON by key. Of two
-// records with the same key the later one stays; Validate reports them.
+// Records returns the inventory as key space records, JSON by key. If two records
+// have the same key, the later one is returned; Validate reports the duplicate.
 func (inv Inventory) Records() map[string][]byte {
 	records := make(map[string][]byte)
 	putRecords(records, inv.Zones)
@@ -36,8 +36,8 @@
 	return records
 }
 
-// FromRecords returns the inventory that records hold, each list sorted by
-// key. Derived keys are passed over.
+// FromRecords decodes records into an inventory, each list sorted by key. Derived
+// keys are ignored.
 func FromRecords(records map[string][]byte) (Inventory, error) {
 	var inv Inventory
 	for _, key := range slices.Sorted(maps.Keys(records)) {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// decodeStrict decodes one JSON value that may hold known fields only.
+// decodeStrict decodes a single JSON value and rejects unknown fields.
 func decodeStrict(value []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(value))
 	decoder.DisallowUnknownFields()
--- a/internal/inventory/validate.go
+++ b/internal/inventory/validate.go
@@ -18,27 +18,27 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// AllowedName says in words which names IsName takes.
+// AllowedName describes the names that IsName accepts, for error messages.
 const AllowedName = "letters, digits, '.', '_' and '-', at most 63, the first a letter or digit"
 
-// IsName reports whether the text can name a record or a daemon.
+// IsName reports whether the text is a valid name of a record or a daemon.
 func IsName(text string) bool { return namePattern.MatchString(text) }
 
-// Fault is one thing wrong with an inventory.
+// Fault is one validation error of an inventory.
 type Fault struct {
-	// Table and Index name the record by its place: Table is the TOML name
-	// of the list, such as "rule".
+	// Table and Index locate the record: Table is the TOML name of the list,
+	// such as "rule", and Index its position in the list.
 	Table string
 	Index int
 	// Key is the record's key in the key space.
 	Key string
-	// Field is the TOML name of the field; empty when the record as a whole is at fault.
+	// Field is the TOML name of the field; empty if the fault concerns the whole record.
 	Field string
-	// Message says what is wrong and what is allowed.
+	// Message describes the fault and what is allowed.
 	Message string
 }
 
-// String names the record by its key.
+// String formats the fault with the key of its record.
 func (f Fault) String() string {
 	if f.Field == "" {
 		return f.Key + ": " + f.Message
@@ -47,7 +47,7 @@
 }
 
 // Validate checks every record and every reference between records. The
-// result depends on the inventory only, and comes in the order of the lists.
+// result depends on the inventory only and is in the order of the lists.
 func (inv Inventory) Validate() []Fault {
 	v := newValidator(inv)
 	v.records()
@@ -55,8 +55,8 @@
 	return v.faults
 }
 
-// ValidateRecords checks each record by itself, and duplicates, but no
-// references: for a part of an inventory.
+// ValidateRecords checks a part of an inventory: each record by itself, and
+// duplicates, but no references.
 func (inv Inventory) ValidateRecords() []Fault {
 	v := newValidator(inv)
 	v.records()
@@ -93,7 +93,7 @@
 	return v
 }
 
-// record reports faults of one record.
+// record identifies one record and adds its faults to the validator.
 type record struct {
 	v     *validator
 	table string
@@ -195,7 +195,8 @@
 	}
 }
 
-// checkKeyOwners reports keys that don't tell one organisation from another.
+// checkKeyOwners reports keys that are listed more than once, by the same or by
+// another organisation.
 func checkKeyOwners(r record, o Organisation, owners map[string]string) {
 	for i, hash := range o.KeyHashes {
 		field := fmt.Sprintf("key_hashes[%d]", i)
