--- a/internal/controlclient/announcer.go
+++ b/internal/controlclient/announcer.go
@@ -16,45 +16,48 @@
 	DefaultRenew  = 10 * time.Second
 	DefaultMinGap = 4 * time.Second
 
-	// urgentGap joins urgent changes that follow one another closely.
-	urgentGap        = 50 * time.Millisecond
+	// urgentDelay is the delay of an urgent change; urgent changes within it share
+	// one announcement.
+	urgentDelay      = 50 * time.Millisecond
 	renewalsPerLease = 3
 )
 
-// AnnouncerConfig says what to announce and how often.
+// AnnouncerConfig sets what to announce and how often.
 type AnnouncerConfig struct {
 	Client *Client
-	// Request returns what the daemon says of itself now.
+	// Request returns the current announcement of the daemon.
 	Request func() *rpc.AnnounceRequest
-	// Renew is the time between announcements that say nothing new, until the
-	// leader has told its lease; from then on it is a third of the lease.
+	// Renew is the interval between announcements without changes until the
+	// leader's first response, which sets the lease; from then on the interval
+	// is a third of the lease.
 	Renew time.Duration
-	// MinGap bounds the wait before a change is announced; it is drawn from
-	// the upper half of it, so that daemons which learn of a change together
-	// do not announce together, and a run of changes costs the leader few
-	// announcements. Urgent changes do not wait for it.
+	// MinGap bounds the delay before a change is announced. The delay is random
+	// between half of MinGap and MinGap, so that daemons that get the same update
+	// do not announce at the same time, and several changes share one
+	// announcement. Urgent changes are not subject to it.
 	MinGap time.Duration
-	// Superseded is called when another process has taken the name; may be nil.
+	// Superseded is called with the newer incarnation when another process has
+	// announced under the same name; may be nil.
 	Superseded func(known uint64)
-	// Answered is called with every answer; may be nil.
+	// Answered is called with every response; may be nil.
 	Answered func(*rpc.AnnounceResponse)
 	Logger   zerolog.Logger
-	// Seed makes the draws repeatable.
+	// Seed of the random delays, for reproducible tests.
 	Seed uint64
 }
 
 // Announcer renews a daemon's lease and announces its changes.
 type Announcer struct {
-	cfg  AnnouncerConfig
-	rand *rand.Rand
-	poke chan struct{}
-	// urgent is signalled for changes that the leader's next step waits for.
+	cfg     AnnouncerConfig
+	rand    *rand.Rand
+	changed chan struct{}
+	// urgent is signalled for changes that the leader waits for.
 	urgent chan struct{}
 	// failing is true while announcements fail.
 	failing bool
 }
 
-// NewAnnouncer makes an announcer; run it in one goroutine.
+// NewAnnouncer returns an announcer; call Run in one goroutine.
 func NewAnnouncer(cfg AnnouncerConfig) *Announcer {
 	if cfg.Renew == 0 {
 		cfg.Renew = DefaultRenew
@@ -63,18 +66,18 @@
 		cfg.MinGap = DefaultMinGap
 	}
 	return &Announcer{
-		cfg:    cfg,
-		rand:   rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
-		poke:   make(chan struct{}, 1),
-		urgent: make(chan struct{}, 1),
+		cfg:     cfg,
+		rand:    rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
+		changed: make(chan struct{}, 1),
+		urgent:  make(chan struct{}, 1),
 	}
 }
 
-// Changed asks for an announcement soon; it never blocks.
-func (a *Announcer) Changed() { signal(a.poke) }
+// Changed requests an announcement within MinGap; it never blocks.
+func (a *Announcer) Changed() { signal(a.changed) }
 
-// ChangedUrgently asks for an announcement almost at once: the leader waits
-// for this change to take its next step. It never blocks.
+// ChangedUrgently requests an announcement within urgentDelay, for a change that
+// the leader waits for. It never blocks.
 func (a *Announcer) ChangedUrgently() { signal(a.urgent) }
 
 func signal(ch chan struct{}) {
@@ -84,7 +87,7 @@
 	}
 }
 
-// AnnounceNow announces at once, as before a stop, and returns the error.
+// AnnounceNow announces synchronously, for example before a stop.
 func (a *Announcer) AnnounceNow(ctx context.Context) error {
 	_, err := a.cfg.Client.Announce(ctx, a.cfg.Request())
 	return err
@@ -100,18 +103,19 @@
 			renew.Stop()
 			return ctx.Err()
 		case <-renew.C:
-		case <-a.poke:
+		case <-a.changed:
 			renew.Stop()
-			a.spread(ctx)
+			a.delayChange(ctx)
 		case <-a.urgent:
 			renew.Stop()
-			pause.For(ctx, urgentGap)
+			pause.For(ctx, urgentDelay)
 		}
 	}
 }
 
-// spread waits for up to MinGap, or until an urgent change.
-func (a *Announcer) spread(ctx context.Context) {
+// delayChange waits for a random time between half of MinGap and MinGap, or until
+// an urgent change.
+func (a *Announcer) delayChange(ctx context.Context) {
 	half := int64(a.cfg.MinGap / 2)
 	timer := time.NewTimer(time.Duration(half + a.rand.Int64N(half+1)))
 	defer timer.Stop()
@@ -127,10 +131,10 @@
 	defer cancel()
 	resp, err := a.cfg.Client.Announce(ctx, a.cfg.Request())
 	if err != nil {
-		a.note(true, err)
+		a.logTransition(true, err)
 		return
 	}
-	a.note(false, nil)
+	a.logTransition(false, nil)
 	a.followLease(resp)
 	if a.cfg.Answered != nil {
 		a.cfg.Answered(resp)
@@ -140,22 +144,22 @@
 	}
 }
 
-// followLease renews three times in a lease.
+// followLease sets the renewal interval to a third of the lease.
 func (a *Announcer) followLease(resp *rpc.AnnounceResponse) {
 	if lease := time.Duration(resp.LeaseMs) * time.Millisecond; lease > 0 {
 		a.cfg.Renew = lease / renewalsPerLease
 	}
 }
 
-// note logs when announcing begins to fail or works again.
-func (a *Announcer) note(failing bool, err error) {
+// logTransition logs when announcements begin to fail or succeed again.
+func (a *Announcer) logTransition(failing bool, err error) {
 	if failing == a.failing {
 		return
 	}
 	a.failing = failing
 	if failing {
-		a.cfg.Logger.Warn().Err(err).Msg("announcements fail")
+		a.cfg.Logger.Warn().Err(err).Msg("announcements to the control servers fail")
 		return
 	}
-	a.cfg.Logger.Info().Msg("announcements work")
+	a.cfg.Logger.Info().Msg("announcements to the control servers succeed again")
 }
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,11 +1,9 @@
 // Package controlclient calls the control servers for entries, agents and
 // control servers: it finds the leader, follows redirects and retries within
-// the caller's deadline.
+// the caller's deadline. The calls are those of rpc.Control.
 //
-// State: the address that answered last and one pool of connections. Calls
-// may be made from any goroutine.
-//
-// Messages: the requests and responses of rpc.Control.
+// A Client keeps the address of the presumed leader and one pool of connections.
+// It is safe for concurrent use.
 package controlclient
 
 import (
@@ -23,32 +21,33 @@
 	"lynxgate.dev/lynxgate/internal/rpcconn"
 )
 
-// ErrNoQuorum says that no control server could serve the call. Nothing was
-// accepted.
+// ErrNoQuorum means that no control server could serve the call and that the call
+// had no effect.
 var ErrNoQuorum = errors.New("no quorum of control servers in reach")
 
-// ErrResultUnknown says that a call may have been carried out: it was sent,
-// and its answer was lost. Claim and Settle may be sent again as they are.
+// ErrResultUnknown means that a call may have been carried out: it was sent, but
+// its response was lost. Claim and Settle may be repeated unchanged.
 var ErrResultUnknown = errors.New("result of the call is unknown")
 
-// errNotSent marks failures before anything was sent.
+// errNotSent marks errors that occur before anything is sent.
 var errNotSent = errors.New("not connected")
 
 // Defaults of Config.
 const (
 	DefaultCallTimeout = 2 * time.Second
 	DefaultDialTimeout = time.Second
-	// retryPause is the wait after all servers have been asked once.
+	// retryPause is the wait after all servers were called without success, or
+	// after maxRedirects redirects.
 	retryPause = 100 * time.Millisecond
-	// poolCapacity is the most idle connections kept over all servers.
+	// poolCapacity is the maximum number of idle connections to all servers.
 	poolCapacity = 8
-	// poolKeyCapacity is the most idle connections kept to one server.
+	// poolKeyCapacity is the maximum number of idle connections to one server.
 	poolKeyCapacity = 4
-	// poolExpiration closes connections that were idle for long.
+	// poolExpiration is the idle time after which a connection is closed.
 	poolExpiration = time.Minute
 )
 
-// Config says which control servers to call.
+// Config sets which control servers to call, and the timeouts.
 type Config struct {
 	// Addrs are the rpc addresses of control servers.
 	Addrs []string
@@ -67,7 +66,7 @@
 	leader string
 }
 
-// New makes a client; it connects at the first call.
+// New returns a client; it connects at the first call.
 func New(cfg Config) *Client {
 	if cfg.CallTimeout == 0 {
 		cfg.CallTimeout = DefaultCallTimeout
@@ -102,30 +101,32 @@
 	return call(ctx, c, req, rpc.DRPCControlClient.Announce)
 }
 
-// Claim reserves an idempotency key. With an attempt set, the call is repeated
-// until the deadline when its answer is lost.
+// Claim reserves an idempotency key. If the response is lost, the call is
+// repeated until the deadline; with the same attempt in the request, the repeated
+// claim gets the same grant.
 func (c *Client) Claim(ctx context.Context, req *rpc.ClaimRequest) (*rpc.ClaimResponse, error) {
 	return call(ctx, c, req, rpc.DRPCControlClient.Claim)
 }
 
-// Settle records the outcome of a claim; it is repeated until the deadline.
+// Settle records the outcome of a claim. If the response is lost, the call is
+// repeated until the deadline.
 func (c *Client) Settle(ctx context.Context, req *rpc.SettleRequest) (*rpc.SettleResponse, error) {
 	return call(ctx, c, req, rpc.DRPCControlClient.Settle)
 }
 
-// response is what all responses of rpc.Control have.
+// response is implemented by all responses of rpc.Control.
 type response interface {
 	GetStatus() rpc.Status
 	GetLeaderAddr() string
 }
 
-// maxRedirects bounds how often one round follows the servers' word about the
-// leader, so that servers which name each other are not asked without a pause.
+// maxRedirects bounds the redirects followed without a pause, so that servers
+// that redirect to each other are not called in a tight loop.
 const maxRedirects = 3
 
-// call asks one server after the other, the supposed leader first, until one
-// carries the call out or ctx ends. All calls of rpc.Control are idempotent,
-// so a lost answer is followed by a repeat.
+// call calls one server after the other, the presumed leader first, until one
+// carries the call out or ctx is done. All calls of rpc.Control are idempotent,
+// so a call is repeated if its response is lost.
 func call[Req any, Resp response](
 	ctx context.Context, c *Client, req Req,
 	method func(rpc.DRPCControlClient, context.Context, Req) (Resp, error),
@@ -133,11 +134,11 @@
 	var out outcome
 	for ctx.Err() == nil {
 		for range maxRedirects {
-			resp, next := round(ctx, c, req, method, &out)
+			resp, next := callEach(ctx, c, req, method, &out)
 			if next == answered {
 				return resp, nil
 			}
-			if next == giveUp {
+			if next == exhausted {
 				break
 			}
 		}
@@ -147,60 +148,61 @@
 	return none, out.failure()
 }
 
-// next says how a call goes on after a round.
-type next int
+// roundResult is the result of one round of a call.
+type roundResult int
 
 const (
 	// answered means that the call is done.
-	answered next = iota
-	// redirected means that a server named another leader.
+	answered roundResult = iota
+	// redirected means that a server redirected to another leader.
 	redirected
-	// giveUp means that all servers were asked in vain.
-	giveUp
+	// exhausted means that no server carried the call out.
+	exhausted
 )
 
-// round asks the servers once each, until one answers or names a new leader.
-func round[Req any, Resp response](
+// callEach calls each server once, until one carries the call out or redirects to
+// another leader.
+func callEach[Req any, Resp response](
 	ctx context.Context, c *Client, req Req,
 	method func(rpc.DRPCControlClient, context.Context, Req) (Resp, error), out *outcome,
-) (Resp, next) {
+) (Resp, roundResult) {
 	var none Resp
 	for _, addr := range c.candidates() {
-		resp, err := callOne(ctx, c, addr, req, method)
+		resp, err := callServer(ctx, c, addr, req, method)
 		if err != nil {
-			out.note(addr, err)
+			out.recordError(addr, err)
 			continue
 		}
 		switch resp.GetStatus() {
 		case rpc.Status_STATUS_OK:
-			c.remember(addr)
+			c.setLeader(addr)
 			return resp, answered
 		case rpc.Status_STATUS_INVALID:
 			return resp, answered
 		}
-		out.noteStatus(addr, resp.GetStatus())
+		out.recordStatus(addr, resp.GetStatus())
 		if c.redirect(addr, resp) {
 			return none, redirected
 		}
 	}
-	return none, giveUp
+	return none, exhausted
 }
 
-// outcome collects why a call has failed so far.
+// outcome records the failures of a call so far.
 type outcome struct {
 	last error
 	// sent is true when the call may have been carried out.
 	sent bool
 }
 
-func (o *outcome) note(addr string, err error) {
+func (o *outcome) recordError(addr string, err error) {
 	o.last = fmt.Errorf("control server %s: %w", addr, err)
 	if !errors.Is(err, errNotSent) {
 		o.sent = true
 	}
 }
 
-func (o *outcome) noteStatus(addr string, status rpc.Status) {
+func (o *outcome) recordStatus(addr string, status rpc.Status) {
 	o.last = fmt.Errorf("control server %s: %s", addr, status)
 	if status == rpc.Status_STATUS_RESULT_UNKNOWN {
 		o.sent = true
@@ -217,7 +219,7 @@
 	return fmt.Errorf("%w: %w", ErrNoQuorum, o.last)
 }
 
-func callOne[Req any, Resp response](
+func callServer[Req any, Resp response](
 	ctx context.Context, c *Client, addr string, req Req,
 	method func(rpc.DRPCControlClient, context.Context, Req) (Resp, error),
 ) (Resp, error) {
@@ -237,7 +239,7 @@
 	return rpcconn.NewConn(tcp), nil
 }
 
-// candidates returns the supposed leader and then the other servers.
+// candidates returns the presumed leader, followed by the other servers.
 func (c *Client) candidates() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -253,14 +255,14 @@
 	return out
 }
 
-func (c *Client) remember(addr string) {
+func (c *Client) setLeader(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leader = addr
 }
 
-// redirect follows a server's word about the leader and reports whether it
-// named another one than was asked.
+// redirect sets the presumed leader from a NOT_LEADER response and reports
+// whether it changed.
 func (c *Client) redirect(asked string, resp response) bool {
 	if resp.GetStatus() != rpc.Status_STATUS_NOT_LEADER {
 		return false
@@ -272,7 +274,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader == leader {
-		return false // asked already; its word may be out of date
+		return false // already called in this round; the redirect may be out of date
 	}
 	c.leader = leader
 	return true
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -18,7 +18,7 @@
 
 const waitLong = 30 * time.Second
 
-// fakeServer answers claims and announcements as the test says.
+// fakeServer responds to claims and announcements as set by the test.
 type fakeServer struct {
 	rpc.DRPCControlUnimplementedServer
 	addr  string
@@ -43,7 +43,7 @@
 	return s
 }
 
-func (s *fakeServer) answer(status rpc.Status, leader string, err error) {
+func (s *fakeServer) setResponse(status rpc.Status, leader string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status, s.leader, s.err = status, leader, err
@@ -71,11 +71,11 @@
 	return c.Claim(ctx, &rpc.ClaimRequest{})
 }
 
-// TestFindsTheLeader follows redirects, remembers the leader, and goes on to
-// the other servers when it is gone.
-func TestFindsTheLeader(t *testing.T) {
+// TestCallFindsLeader follows redirects, calls the known leader first, and falls
+// back to the other servers when it is no longer the leader.
+func TestCallFindsLeader(t *testing.T) {
 	a, b := startFake(t), startFake(t)
-	a.answer(rpc.Status_STATUS_NOT_LEADER, b.addr, nil)
+	a.setResponse(rpc.Status_STATUS_NOT_LEADER, b.addr, nil)
 	c := New(Config{Addrs: []string{"127.0.0.1:1", a.addr}}) // the leader is not in the list
 	defer c.Close()
 	resp, err := claim(t, c, waitLong)
@@ -84,16 +84,16 @@
 	asked := a.calls.Load()
 	_, err = claim(t, c, waitLong)
 	require.NoError(t, err)
-	require.Equal(t, asked, a.calls.Load(), "the leader is asked first")
-	b.answer(rpc.Status_STATUS_NOT_LEADER, a.addr, nil)
-	a.answer(rpc.Status_STATUS_OK, "", nil)
+	require.Equal(t, asked, a.calls.Load(), "the known leader is called first")
+	b.setResponse(rpc.Status_STATUS_NOT_LEADER, a.addr, nil)
+	a.setResponse(rpc.Status_STATUS_OK, "", nil)
 	_, err = claim(t, c, waitLong)
 	require.NoError(t, err)
 }
 
-// TestFailureSaysWhatIsCertain tells a call that was never carried out from
-// one that may have been.
-func TestFailureSaysWhatIsCertain(t *testing.T) {
+// TestFailedCallReportsWhetherItMayHaveRun distinguishes calls that had no effect
+// (ErrNoQuorum) from calls that may have been carried out (ErrResultUnknown).
+func TestFailedCallReportsWhetherItMayHaveRun(t *testing.T) {
 	const short = 400 * time.Millisecond
 	a, b := startFake(t), startFake(t)
 	c := New(Config{Addrs: []string{a.addr, b.addr}})
@@ -108,25 +108,26 @@
 		{status: rpc.Status_STATUS_RESULT_UNKNOWN, want: ErrResultUnknown},
 		{err: errors.New("broken"), want: ErrResultUnknown},
 	} {
-		a.answer(test.status, b.addr, test.err)
-		b.answer(test.status, a.addr, test.err)
+		a.setResponse(test.status, b.addr, test.err)
+		b.setResponse(test.status, a.addr, test.err)
 		before := a.calls.Load() + b.calls.Load()
 		_, err := claim(t, c, short)
 		require.ErrorIs(t, err, test.want)
 		rounds := int64(short/retryPause) + 1
 		require.LessOrEqual(t, a.calls.Load()+b.calls.Load()-before, rounds*maxRedirects*2,
-			"servers that name each other are not asked without a pause")
+			"servers that redirect to each other are not called in a tight loop")
 	}
 	none := New(Config{Addrs: []string{"127.0.0.1:1"}})
 	_, err := claim(t, none, short)
 	require.ErrorIs(t, err, ErrNoQuorum, "nothing was sent")
 
-	// one lost answer leaves the call unknown, whatever the others say
-	a.answer(0, "", errors.New("broken"))
-	b.answer(rpc.Status_STATUS_NO_QUORUM, "", nil)
+	// After one lost response the result stays unknown, whatever the other
+	// servers respond.
+	a.setResponse(0, "", errors.New("broken"))
+	b.setResponse(rpc.Status_STATUS_NO_QUORUM, "", nil)
 	_, err = claim(t, c, short)
 	require.ErrorIs(t, err, ErrResultUnknown)
-	a.answer(rpc.Status_STATUS_OK, "", nil)
+	a.setResponse(rpc.Status_STATUS_OK, "", nil)
 	resp, err := claim(t, c, waitLong)
 	require.NoError(t, err)
 	require.EqualValues(t, 7, resp.Token)
@@ -147,15 +148,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- a.Run(ctx) }()
-	require.Eventually(t, func() bool { return s.calls.Load() == 1 }, waitLong, time.Millisecond, "at once at the start")
+	require.Eventually(t, func() bool { return s.calls.Load() == 1 }, waitLong, time.Millisecond, "the first announcement is immediate")
 	a.Changed()
 	leaving.Store(true)
 	a.ChangedUrgently()
-	require.Eventually(t, func() bool { return s.calls.Load() >= 2 }, waitLong, time.Millisecond, "urgent changes do not wait")
+	require.Eventually(t, func() bool { return s.calls.Load() >= 2 }, waitLong, time.Millisecond, "urgent changes do not wait for MinGap")
 	s.mu.Lock()
 	require.True(t, s.leaving)
 	s.mu.Unlock()
-	s.answer(rpc.Status_STATUS_INVALID, "", nil)
+	s.setResponse(rpc.Status_STATUS_INVALID, "", nil)
 	a.ChangedUrgently()
 	require.EqualValues(t, 9, <-superseded)
 	cancel()
