--- a/internal/configfeed/chooser.go
+++ b/internal/configfeed/chooser.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// timing holds the waits of a chooser.
+// timing holds the timeouts and delays of a chooser.
 type timing struct {
-	// startWait is how long a starting process insists on a confirmed source.
+	// startWait is how long a starting process accepts only confirmed updates.
 	startWait time.Duration
-	// patience is how long a source may be behind or unconfirmed before
-	// another one is tried.
-	patience time.Duration
-	// minBackoff and maxBackoff bound the wait between rounds of sources.
+	// staleTimeout is how long a source may be behind or unconfirmed before the
+	// chooser moves to the next one.
+	staleTimeout time.Duration
+	// minBackoff and maxBackoff bound the wait between rounds over all sources.
 	minBackoff time.Duration
 	maxBackoff time.Duration
 }
 
-// offer is a whole update as the chooser sees it.
+// offer is the part of an update that the chooser decides on.
 type offer struct {
 	revision  uint64
 	confirmed bool
 }
 
-// verdict says what to do with an offer and with the source that made it.
-type verdict struct {
-	// take puts the update into force.
-	take bool
-	// hold keeps the update as the candidate of a starting process.
-	hold bool
-	// adopt puts the candidate held so far into force.
+// decision is what to do with an offer and with its source.
+type decision struct {
+	// apply puts the update into force.
+	apply bool
+	// keep stores the update as the candidate of a starting process.
+	keep bool
+	// adopt puts the candidate into force.
 	adopt bool
-	// move leaves the source for the next one.
-	move bool
-	// refused is true for an update below what is in force.
+	// leave ends the subscription and moves to the next source.
+	leave bool
+	// refused is true for an update below the revision in force or the floor.
 	refused bool
 }
 
-// attempt says which source to ask next.
-type attempt struct {
+// connection is the next source to subscribe to, after a wait.
+type connection struct {
 	upstream      int
 	wait          time.Duration
 	needConfirmed bool
 }
 
-// chooser decides which source to follow and which updates to take. It is a
-// pure step: its methods depend on its fields and arguments only.
+// chooser decides which source to follow and which updates to apply. It does no
+// I/O and reads no clock: its methods depend on its fields and arguments only.
 type chooser struct {
 	timing    timing
 	upstreams int
@@ -50,21 +50,22 @@
 
 	// have is the revision in force, 0 before the first one.
 	have uint64
-	// floor is the lowest revision that may come into force first.
+	// floor is the lowest revision that may be applied first.
 	floor uint64
 	// candidate is the highest unconfirmed revision offered while starting.
 	candidate uint64
-	// current is the source asked now; -1 before the first.
+	// current is the index of the current source; -1 before the first.
 	current int
-	// tried counts sources left in a row without a confirmed update.
+	// tried counts the sources left since the last confirmed update.
 	tried int
-	// probed counts sources asked since a starting process stopped insisting.
-	probed int
-	// goodSince is when the current source last was neither behind nor
-	// unconfirmed, or when it was chosen.
-	goodSince time.Time
-	// lastConfirmed is when a confirmed update last showed the revision in
-	// force to be current.
+	// triedAfterStartWait counts the sources left after startWait, while no
+	// revision is in force.
+	triedAfterStartWait int
+	// lastGood is when the current source was last neither behind nor
+	// unconfirmed; initially, when it was chosen.
+	lastGood time.Time
+	// lastConfirmed is when a confirmed update last showed that the revision in
+	// force is current.
 	lastConfirmed time.Time
 }
 
@@ -75,22 +76,22 @@
 // starting reports whether no revision is in force yet.
 func (c *chooser) starting() bool { return c.have == 0 }
 
-// insists reports whether only a confirmed first revision is good enough.
-func (c *chooser) insists(now time.Time) bool {
+// needsConfirmed reports whether the first revision must be confirmed.
+func (c *chooser) needsConfirmed(now time.Time) bool {
 	return now.Sub(c.started) < c.timing.startWait
 }
 
-// next chooses the source to ask after the current one was left or lost.
-func (c *chooser) next(now time.Time) attempt {
+// next chooses the source to follow after the current one.
+func (c *chooser) next(now time.Time) connection {
 	c.current = (c.current + 1) % c.upstreams
-	a := attempt{upstream: c.current, needConfirmed: c.starting() && c.insists(now)}
+	a := connection{upstream: c.current, needConfirmed: c.starting() && c.needsConfirmed(now)}
 	a.wait = c.backoff()
-	c.goodSince = now.Add(a.wait)
+	c.lastGood = now.Add(a.wait)
 	return a
 }
 
-// backoff is the wait before the next attempt: none within the first round,
-// then doubled with every round that found no confirmed source.
+// backoff returns the wait before the next connection: 0 within the first round
+// over the sources, then doubled with each round that found no confirmed source.
 func (c *chooser) backoff() time.Duration {
 	rounds := c.tried / c.upstreams
 	if rounds == 0 {
@@ -107,64 +108,65 @@
 	return wait
 }
 
-// lost notes that the current source was left: it did not answer, broke off
-// or was silent. A starting process that has asked all adopts the candidate.
-func (c *chooser) lost(now time.Time) verdict {
+// sourceLeft records that the current source was sourceLeft: it was unreachable, silent,
+// stale, or closed the stream. A starting process adopts the candidate once it
+// has tried all sources after startWait.
+func (c *chooser) sourceLeft(now time.Time) decision {
 	c.tried++
-	if !c.starting() || c.insists(now) {
-		return verdict{}
+	if !c.starting() || c.needsConfirmed(now) {
+		return decision{}
 	}
-	c.probed++
-	if c.probed < c.upstreams || c.candidate == 0 {
-		return verdict{}
+	c.triedAfterStartWait++
+	if c.triedAfterStartWait < c.upstreams || c.candidate == 0 {
+		return decision{}
 	}
 	c.have = c.candidate
-	return verdict{adopt: true}
+	return decision{adopt: true}
 }
 
-// offered decides on an update of the current source.
-func (c *chooser) offered(o offer, now time.Time) verdict {
-	v := c.judge(o)
-	if v.take {
+// offered decides on an update from the current source.
+func (c *chooser) offered(o offer, now time.Time) decision {
+	v := c.decide(o)
+	if v.apply {
 		c.have = o.revision
 	}
-	if v.hold {
+	if v.keep {
 		c.candidate = o.revision
 	}
 	if o.confirmed && o.revision >= max(c.have, c.floor) {
-		c.goodSince = now
+		c.lastGood = now
 		c.tried = 0
-		c.noteConfirmed(now)
+		c.markConfirmed(now)
 	}
-	v.move = v.move || c.outOfPatience(now)
+	v.leave = v.leave || c.staleTooLong(now)
 	return v
 }
 
-// noteConfirmed notes that the revision in force was shown to be current.
-func (c *chooser) noteConfirmed(now time.Time) {
+// markConfirmed records that the revision in force is current.
+func (c *chooser) markConfirmed(now time.Time) {
 	if !c.starting() {
 		c.lastConfirmed = now
 	}
 }
 
-func (c *chooser) judge(o offer) verdict {
+func (c *chooser) decide(o offer) decision {
 	if o.revision < max(c.have, c.floor) {
-		return verdict{refused: true, move: c.starting()}
+		return decision{refused: true, leave: c.starting()}
 	}
 	if !c.starting() {
-		return verdict{take: o.revision > c.have}
+		return decision{apply: o.revision > c.have}
 	}
 	if o.revision == 0 {
-		return verdict{move: !o.confirmed}
+		return decision{leave: !o.confirmed}
 	}
 	if o.confirmed {
-		return verdict{take: true}
+		return decision{apply: true}
 	}
-	return verdict{hold: o.revision > c.candidate, move: true}
+	return decision{keep: o.revision > c.candidate, leave: true}
 }
 
-// outOfPatience reports whether the current source has been behind or
-// unconfirmed for too long while there are others.
-func (c *chooser) outOfPatience(now time.Time) bool {
-	return c.upstreams > 1 && now.Sub(c.goodSince) > c.timing.patience
+// staleTooLong reports whether the current source was behind or unconfirmed for
+// longer than staleTimeout while there are other sources.
+func (c *chooser) staleTooLong(now time.Time) bool {
+	return c.upstreams > 1 && now.Sub(c.lastGood) > c.timing.staleTimeout
 }
--- a/internal/configfeed/chooser_test.go
+++ b/internal/configfeed/chooser_test.go
@@ -11,32 +11,32 @@
 )
 
 var testTiming = timing{
-	startWait:  5 * time.Second,
-	patience:   6 * time.Second,
-	minBackoff: 250 * time.Millisecond,
-	maxBackoff: 10 * time.Second,
+	startWait:    5 * time.Second,
+	staleTimeout: 6 * time.Second,
+	minBackoff:   250 * time.Millisecond,
+	maxBackoff:   10 * time.Second,
 }
 
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestChooserNeverFalls offers updates of sources in any state, in any order,
-// and checks each verdict.
-func TestChooserNeverFalls(t *testing.T) {
+// TestChooserNeverLowersRevision offers random updates from sources in any state
+// and checks each decision.
+func TestChooserNeverLowersRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := epoch
 		floor := uint64(rapid.IntRange(0, 5).Draw(t, "floor"))
 		c := newChooser(rapid.IntRange(1, 4).Draw(t, "sources"), floor, testTiming, now)
 		c.next(now)
-		var inForce, bestHeld uint64
-		asked := map[int]bool{} // left since the process stopped insisting
+		var inForce, bestKept uint64
+		left := map[int]bool{} // sources left after startWait
 		leave := func() {
 			if now.Sub(epoch) >= testTiming.startWait {
-				asked[c.current] = true
+				left[c.current] = true
 			}
-			if v := c.lost(now); v.adopt {
-				require.Len(t, asked, c.upstreams, "all neighbours were asked")
+			if v := c.sourceLeft(now); v.adopt {
+				require.Len(t, left, c.upstreams, "all sources were tried")
 				require.Zero(t, inForce)
-				require.Equal(t, bestHeld, c.have, "the highest revision of the neighbours")
+				require.Equal(t, bestKept, c.have, "the highest revision of the sources")
 				require.GreaterOrEqual(t, now.Sub(epoch), testTiming.startWait)
 				inForce = c.have
 			}
@@ -48,21 +48,21 @@
 					confirmed: rapid.Bool().Draw(t, "confirmed"),
 				}
 				v := c.offered(o, now)
-				if v.take {
-					require.Greater(t, o.revision, inForce, "a revision never falls")
+				if v.apply {
+					require.Greater(t, o.revision, inForce, "a revision never decreases")
 					require.GreaterOrEqual(t, o.revision, floor, "not below the floor of an earlier run")
-					require.True(t, inForce > 0 || o.confirmed, "the first one is confirmed or adopted")
+					require.True(t, inForce > 0 || o.confirmed, "the first revision is confirmed or adopted")
 					inForce = o.revision
 				}
-				if v.hold {
+				if v.keep {
 					require.Zero(t, inForce)
 					require.GreaterOrEqual(t, o.revision, floor)
-					bestHeld = max(bestHeld, o.revision)
+					bestKept = max(bestKept, o.revision)
 				}
 				if o.revision > inForce {
-					require.True(t, v.take || v.move, "a higher one is taken, or the source left")
+					require.True(t, v.apply || v.leave, "a higher revision is applied, or the source left")
 				}
-				if v.move {
+				if v.leave {
 					leave()
 					c.next(now)
 				}
@@ -85,16 +85,16 @@
 
 func TestChooserLeavesStaleSources(t *testing.T) {
 	c := newChooser(2, 0, testTiming, epoch)
-	require.Equal(t, attempt{upstream: 0, needConfirmed: true}, c.next(epoch))
-	require.True(t, c.offered(offer{5, true}, epoch).take)
-	require.Equal(t, verdict{refused: true}, c.offered(offer{4, true}, epoch.Add(time.Second)))
-	now := epoch.Add(testTiming.patience + time.Second)
-	require.Equal(t, verdict{refused: true, move: true}, c.offered(offer{4, true}, now), "behind for too long")
-	c.lost(now)
-	require.Equal(t, attempt{upstream: 1}, c.next(now))
-	require.Equal(t, verdict{take: true}, c.offered(offer{6, false}, now))
-	now = now.Add(testTiming.patience + time.Second)
-	require.Equal(t, verdict{move: true}, c.offered(offer{6, false}, now), "unconfirmed for too long")
-	c.lost(now)
-	require.Equal(t, attempt{upstream: 0, wait: testTiming.minBackoff}, c.next(now), "a pause after each round")
+	require.Equal(t, connection{upstream: 0, needConfirmed: true}, c.next(epoch))
+	require.True(t, c.offered(offer{5, true}, epoch).apply)
+	require.Equal(t, decision{refused: true}, c.offered(offer{4, true}, epoch.Add(time.Second)))
+	now := epoch.Add(testTiming.staleTimeout + time.Second)
+	require.Equal(t, decision{refused: true, leave: true}, c.offered(offer{4, true}, now), "behind for too long")
+	c.sourceLeft(now)
+	require.Equal(t, connection{upstream: 1}, c.next(now))
+	require.Equal(t, decision{apply: true}, c.offered(offer{6, false}, now))
+	now = now.Add(testTiming.staleTimeout + time.Second)
+	require.Equal(t, decision{leave: true}, c.offered(offer{6, false}, now), "unconfirmed for too long")
+	c.sourceLeft(now)
+	require.Equal(t, connection{upstream: 0, wait: testTiming.minBackoff}, c.next(now), "backoff after each round")
 }
--- a/internal/configfeed/client.go
+++ b/internal/configfeed/client.go
@@ -29,29 +29,31 @@
 	defaultMaxBackoff  = 10 * time.Second
 )
 
-// checkInterval is how often a client looks at its waits.
+// checkInterval is how often a client checks its timeouts.
 const checkInterval = 500 * time.Millisecond
 
-// ClientConfig says which sources a client follows.
+// ClientConfig sets which sources a client follows, and its timeouts.
 type ClientConfig struct {
 	// Name of the subscribing process.
 	Name string
-	// Upstreams are rpc addresses of sources, in the order of preference;
+	// Upstreams are the rpc addresses of the sources, in order of preference;
 	// see RendezvousOrder.
 	Upstreams []string
-	// Prefixes select keys; none means all.
+	// Prefixes select the keys to receive; empty selects all keys.
 	Prefixes []string
-	// FloorPath is a file that keeps the highest revision in force across
-	// restarts; empty where the process has no folder of its own.
+	// FloorPath is the file that keeps the revision floor across restarts; empty
+	// for a process without a data folder.
 	FloorPath string
-	// StartWait is how long the first configuration must come from a
-	// confirmed source; afterwards the highest one of the neighbours is taken.
+	// StartWait is how long a starting process accepts only a confirmed
+	// configuration; after that it applies the highest revision that the sources
+	// offer.
 	StartWait time.Duration
-	// Patience is how long a source may be silent, behind or unconfirmed.
+	// Patience is how long a source may be silent, behind or unconfirmed before
+	// the client moves to the next one.
 	Patience    time.Duration
 	DialTimeout time.Duration
 	Logger      zerolog.Logger
-	// Registerer takes the metrics; may be nil.
+	// Registerer registers the metrics; may be nil.
 	Registerer prometheus.Registerer
 }
 
@@ -68,25 +70,25 @@
 	return c
 }
 
-// Client keeps a Store up to date. Run it in one goroutine.
+// Client keeps a Store up to date. Call Run in one goroutine.
 type Client struct {
 	cfg     ClientConfig
 	store   *Store
 	floor   floorFile
 	metrics clientMetrics
 	chooser *chooser
-	// candidate is the view held by a starting process.
+	// candidate is the highest unconfirmed view that a starting process received.
 	candidate *keyspace.View
 	ready     chan struct{}
 	readyOnce sync.Once
-	// confirmedAt is chooser.lastConfirmed for other goroutines, nil before the
-	// first. It holds a monotonic reading: a step of the clock must not make
-	// old state look fresh.
+	// confirmedAt is a copy of chooser.lastConfirmed for other goroutines, nil
+	// before the first confirmation. It has a monotonic clock reading, so that a
+	// step of the wall clock can't make an old configuration look confirmed.
 	confirmedAt atomic.Pointer[time.Time]
 	source      atomic.Pointer[string]
 }
 
-// NewClient reads the revision floor and makes a client.
+// NewClient returns a client. It reads the revision floor from FloorPath.
 func NewClient(cfg ClientConfig) (*Client, error) {
 	if len(cfg.Upstreams) == 0 {
 		return nil, errors.New("configuration feed: no sources to subscribe to")
@@ -104,16 +106,16 @@
 		return nil, err
 	}
 	c.chooser = newChooser(len(cfg.Upstreams), floor, timing{
-		startWait:  cfg.StartWait,
-		patience:   cfg.Patience,
-		minBackoff: defaultMinBackoff,
-		maxBackoff: defaultMaxBackoff,
+		startWait:    cfg.StartWait,
+		staleTimeout: cfg.Patience,
+		minBackoff:   defaultMinBackoff,
+		maxBackoff:   defaultMaxBackoff,
 	}, time.Now())
 	c.metrics.unconfirmed.Set(1)
 	return c, nil
 }
 
-// Store returns the store that the client writes, for a Source.
+// Store returns the client's store, which a Source can serve.
 func (c *Client) Store() *Store { return c.store }
 
 // View returns the configuration in force.
@@ -128,17 +130,17 @@
 // Ready returns a channel that is closed when the first revision is in force.
 func (c *Client) Ready() <-chan struct{} { return c.ready }
 
-// Unconfirmed reports whether the configuration in force was not confirmed
-// with a quorum lately.
+// Unconfirmed reports whether the configuration in force was not confirmed with a
+// quorum within the last Patience.
 func (c *Client) Unconfirmed() bool {
 	at := c.confirmedAt.Load()
 	return at == nil || time.Since(*at) > c.cfg.Patience
 }
 
-// Confirmed is the opposite of Unconfirmed, for SourceConfig.
+// Confirmed is the opposite of Unconfirmed, for SourceConfig.Confirmed.
 func (c *Client) Confirmed() bool { return !c.Unconfirmed() }
 
-// Upstream returns the address of the source followed now, or "".
+// Upstream returns the address of the current source, or "" if there is none.
 func (c *Client) Upstream() string {
 	if addr := c.source.Load(); addr != nil {
 		return *addr
@@ -146,7 +148,7 @@
 	return ""
 }
 
-// Run follows sources until the context ends.
+// Run follows the sources until ctx is done.
 func (c *Client) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		a := c.chooser.next(time.Now())
@@ -161,28 +163,29 @@
 			break
 		}
 		c.cfg.Logger.Debug().Str("source", addr).Err(err).Msg("left configuration source")
-		if v := c.chooser.lost(time.Now()); v.adopt {
+		if v := c.chooser.sourceLeft(time.Now()); v.adopt {
 			c.publish(c.candidate, nil, true)
 			c.candidate = nil
-			c.cfg.Logger.Warn().Uint64("revision", c.Revision()).Msg("took unconfirmed configuration")
+			c.cfg.Logger.Warn().Uint64("revision", c.Revision()).Msg("unconfirmed configuration applied")
 		}
 	}
 	return ctx.Err()
 }
 
-// jitter spreads the attempts of many clients by up to a quarter of the wait,
-// the same for one client each time.
+// jitter spreads the connections of many clients by up to a quarter of the wait.
+// It is derived from the client's name, so it is the same each time.
 func (c *Client) jitter(wait time.Duration) time.Duration {
 	return time.Duration(float64(wait) / 4 * float64(hash64(c.cfg.Name)%1024) / 1024)
 }
 
-// errMove says that the client leaves a source for another one.
-var errMove = errors.New("source is behind or unconfirmed")
+// errStale means that the client left a source that is behind or unconfirmed.
+var errStale = errors.New("source is behind or unconfirmed")
 
-// errSilent says that a source sent nothing for too long.
+// errSilent means that a source sent nothing for longer than Patience.
 var errSilent = errors.New("source is silent")
 
-// follow subscribes to one source and takes its updates until it is left.
+// follow subscribes to one source and handles its updates until the source is
+// left.
 func (c *Client) follow(ctx context.Context, addr string, needConfirmed bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -204,28 +207,28 @@
 	}
 	c.source.Store(&addr)
 	in := receive(ctx, stream, c.metrics)
-	return c.takeUpdates(ctx, in)
+	return c.handleUpdates(ctx, in)
 }
 
-// takeUpdates handles the updates of one source until it is left.
-func (c *Client) takeUpdates(ctx context.Context, in *inbox) error {
+// handleUpdates handles the updates of one source until the source is left.
+func (c *Client) handleUpdates(ctx context.Context, in *inbox) error {
 	check := time.NewTicker(min(checkInterval, c.cfg.Patience/4))
 	defer check.Stop()
-	heard := time.Now()
+	lastReceived := time.Now()
 	for {
 		select {
 		case <-in.ready:
-			heard = time.Now()
+			lastReceived = time.Now()
 			u, err := in.take()
 			if u != nil && c.handle(*u) {
-				return errMove
+				return errStale
 			}
 			if err != nil {
 				return err
 			}
 		case <-check.C:
-			c.noteConfirmed()
-			if time.Since(heard) > c.cfg.Patience {
+			c.publishConfirmed()
+			if time.Since(lastReceived) > c.cfg.Patience {
 				return errSilent
 			}
 		case <-ctx.Done():
@@ -234,24 +237,25 @@
 	}
 }
 
-// handle decides on one update and reports whether to leave its source.
+// handle applies, keeps or refuses one update and reports whether to leave its
+// source.
 func (c *Client) handle(u wholeUpdate) bool {
 	v := c.chooser.offered(offer{revision: u.revision, confirmed: u.confirmed}, time.Now())
 	if v.refused {
 		c.metrics.refused.Inc()
 	}
-	if v.take {
+	if v.apply {
 		c.publish(c.applied(u))
 	}
-	if v.hold {
+	if v.keep {
 		c.candidate, _, _ = c.applied(u)
 	}
-	c.noteConfirmed()
-	return v.move
+	c.publishConfirmed()
+	return v.leave
 }
 
-// applied returns the view that an update leads to, the changes in between,
-// and whether the view stands alone.
+// applied returns the view after an update, the changes from the view in force,
+// and whether the view is the first one and has no such changes.
 func (c *Client) applied(u wholeUpdate) (*keyspace.View, []*keyspace.Entry, bool) {
 	old := c.View()
 	if !u.snapshot {
@@ -264,13 +268,14 @@
 	return view, keyspace.Diff(old, view), false
 }
 
-// publish puts a view into force once its revision is the floor on disk.
-func (c *Client) publish(view *keyspace.View, changes []*keyspace.Entry, whole bool) {
+// publish saves the revision of a view as the floor, then puts the view into
+// force. If saving fails, the view is put into force nevertheless.
+func (c *Client) publish(view *keyspace.View, changes []*keyspace.Entry, first bool) {
 	if err := c.floor.save(view.Revision()); err != nil {
 		c.metrics.floorErrors.Inc()
-		c.cfg.Logger.Error().Err(err).Msg("revision floor not kept")
+		c.cfg.Logger.Error().Err(err).Msg("revision floor not saved")
 	}
-	if whole {
+	if first {
 		c.store.Replace(view)
 	} else {
 		c.store.Advance(view, changes)
@@ -279,9 +284,9 @@
 	c.readyOnce.Do(func() { close(c.ready) })
 }
 
-// noteConfirmed makes the chooser's view of confirmation visible, and logs
-// when it changes.
-func (c *Client) noteConfirmed() {
+// publishConfirmed copies the chooser's lastConfirmed for other goroutines, sets
+// the metric, and logs the first confirmation.
+func (c *Client) publishConfirmed() {
 	before := c.confirmedAt.Load()
 	if at := c.chooser.lastConfirmed; !at.IsZero() {
 		c.confirmedAt.Store(&at)
@@ -296,9 +301,9 @@
 	}
 }
 
-// RendezvousOrder returns the addresses in an order that differs from name to
-// name, so that many processes spread over them evenly, and that moves few
-// processes when an address comes or goes.
+// RendezvousOrder returns the addresses in the order of rendezvous hashing by
+// name: many processes spread evenly over the addresses, and few of them change
+// their order of preference when an address is added or removed.
 func RendezvousOrder(name string, addrs []string) []string {
 	out := append([]string(nil), addrs...)
 	sort.SliceStable(out, func(i, j int) bool {
@@ -311,7 +316,8 @@
 	h := fnv.New64a()
 	h.Write([]byte(s))
 	x := h.Sum64()
-	// FNV alone leaves similar names close together; mix the bits.
+	// FNV gives similar names close hashes; the finalizer of MurmurHash3 mixes
+	// the bits.
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
--- a/internal/configfeed/client_test.go
+++ b/internal/configfeed/client_test.go
@@ -25,15 +25,15 @@
 	confirmTimeout = 200 * time.Millisecond
 )
 
-// keyOf is the key that revision r changes: one of ten, under two prefixes;
-// every seventh revision deletes its key.
+// keyOf returns the key that revision r changes: one of ten, under two prefixes.
+// Every seventh revision deletes its key.
 func keyOf(r uint64) string { return fmt.Sprintf("%c/%d", 'a'+byte(r%2), r%10) }
 
 func entryOf(r uint64) *keyspace.Entry {
 	return &keyspace.Entry{Key: keyOf(r), Value: []byte(strconv.FormatUint(r, 10)), Revision: r, Deleted: r%7 == 0}
 }
 
-// viewAt is the view that every process must have at revision r.
+// viewAt returns the view that every process must have at revision r.
 func viewAt(r uint64, prefixes ...string) *keyspace.View {
 	view := keyspace.NewView(0, nil)
 	for i := uint64(1); i <= r; i++ {
@@ -44,7 +44,7 @@
 	return view.Apply(r, nil)
 }
 
-// testSource is a source on loopback whose state the test drives.
+// testSource is a source on loopback whose state is set by the test.
 type testSource struct {
 	t         *testing.T
 	addr      string
@@ -62,7 +62,7 @@
 	return s
 }
 
-// start serves from an empty store, as a restarted process does.
+// start serves from an empty store, like a restarted process.
 func (s *testSource) start() {
 	lis, err := net.Listen("tcp", s.addr)
 	require.NoError(s.t, err)
@@ -93,7 +93,7 @@
 	}
 }
 
-// advance brings the source to revision r, by deltas or as a whole.
+// advance brings the source to revision r, by deltas or by replacing the view.
 func (s *testSource) advance(r uint64, whole bool) {
 	if whole && r > s.store.Revision() {
 		s.store.Replace(viewAt(r))
@@ -104,34 +104,34 @@
 	}
 }
 
-// follower is a client under test and the check of what it puts into force.
-type follower struct {
-	t        *testing.T
-	cfg      ClientConfig
-	client   *Client
-	highest  uint64
-	stopRun  func()
-	stopLook func()
+// testClient runs a client and checks each view that it puts into force.
+type testClient struct {
+	t         *testing.T
+	cfg       ClientConfig
+	client    *Client
+	highest   uint64
+	stopRun   func()
+	stopCheck func()
 }
 
-func startFollower(t *testing.T, cfg ClientConfig) *follower {
-	f := &follower{t: t, cfg: cfg}
+func startClient(t *testing.T, cfg ClientConfig) *testClient {
+	f := &testClient{t: t, cfg: cfg}
 	f.start()
 	t.Cleanup(func() { f.stop() })
 	return f
 }
 
-func (f *follower) start() {
+func (f *testClient) start() {
 	client, err := NewClient(f.cfg)
 	require.NoError(f.t, err)
 	f.client = client
 	f.stopRun = background(func(ctx context.Context) { _ = client.Run(ctx) })
-	f.stopLook = background(f.look)
+	f.stopCheck = background(f.checkViews)
 }
 
-func (f *follower) stop() {
+func (f *testClient) stop() {
 	f.stopRun()
-	f.stopLook()
+	f.stopCheck()
 }
 
 func background(run func(context.Context)) func() {
@@ -147,15 +147,15 @@
 	}
 }
 
-// look checks every view: revisions never fall, not even over restarts, and
-// the content is that of the revision.
-func (f *follower) look(ctx context.Context) {
+// checkViews checks that revisions never decrease, also over restarts, and that
+// each view has the content of its revision.
+func (f *testClient) checkViews(ctx context.Context) {
 	for {
 		changed := f.client.Changed()
 		view := f.client.View()
 		if view.Revision() > 0 {
 			if view.Revision() < f.highest {
-				f.t.Errorf("revision fell from %d to %d", f.highest, view.Revision())
+				f.t.Errorf("revision decreased from %d to %d", f.highest, view.Revision())
 			}
 			f.highest = view.Revision()
 			want := viewAt(view.Revision(), f.cfg.Prefixes...)
@@ -171,18 +171,18 @@
 	}
 }
 
-// TestClientNeverFalls drives sources and a client through a generated history
-// of restarts, cuts, overrun histories and hundreds of changes.
-func TestClientNeverFalls(t *testing.T) {
+// TestClientNeverLowersRevision runs a client against three sources under random
+// restarts, lost quorums, overrun histories and hundreds of changes.
+func TestClientNeverLowersRevision(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			runHistory(t, rand.New(rand.NewPCG(seed, 1)))
+			runRandomEvents(t, rand.New(rand.NewPCG(seed, 1)))
 		})
 	}
 }
 
-func runHistory(t *testing.T, random *rand.Rand) {
+func runRandomEvents(t *testing.T, random *rand.Rand) {
 	var newest atomic.Uint64
 	var sources []*testSource
 	cfg := ClientConfig{
@@ -200,11 +200,11 @@
 	}
 	newest.Store(1)
 	sources[0].advance(1, false)
-	f := startFollower(t, cfg)
+	f := startClient(t, cfg)
 	for range 60 {
 		s := sources[random.IntN(len(sources))]
 		switch random.IntN(8) {
-		case 0: // the source restarts with what it finds on its disk
+		case 0: // the source restarts, possibly at an older revision
 			behind := uint64(random.IntN(20))
 			at := s.store.Revision()
 			s.stop()
@@ -215,7 +215,7 @@
 		case 2:
 			f.stop()
 			f.start()
-		case 3: // hundreds of changes go by
+		case 3: // up to hundreds of changes at once
 			newest.Add(uint64(random.IntN(300)))
 			s.advance(newest.Load(), true)
 		default:
@@ -232,13 +232,13 @@
 	}
 	require.Eventually(t, func() bool {
 		return f.client.Revision() == newest.Load() && !f.client.Unconfirmed()
-	}, waitLong, 5*time.Millisecond, "ends at the newest revision, confirmed")
+	}, waitLong, 5*time.Millisecond, "reaches the newest revision, confirmed")
 	f.stop()
 }
 
-// TestStartInsistsOnAConfirmedSource starts a process whose first source was
-// cut off for hours while the second one has gone on.
-func TestStartInsistsOnAConfirmedSource(t *testing.T) {
+// TestStartRequiresConfirmedSource starts a process whose first source was cut off
+// from the quorum for hours while the second one has advanced.
+func TestStartRequiresConfirmedSource(t *testing.T) {
 	var newest atomic.Uint64
 	newest.Store(500)
 	stale, good := startSource(t, &newest), startSource(t, &newest)
@@ -246,22 +246,22 @@
 	stale.advance(20, true)
 	good.advance(500, true)
 	cfg := ClientConfig{Name: "f", Upstreams: []string{stale.addr, good.addr}, StartWait: waitLong, Patience: time.Second}
-	f := startFollower(t, cfg)
+	f := startClient(t, cfg)
 	<-f.client.Ready()
 	require.EqualValues(t, 500, f.client.Revision())
 
-	lagging := startSource(t, &newest) // confirmed, but has not applied all
+	lagging := startSource(t, &newest) // confirmed, but not at the newest revision
 	lagging.advance(499, true)
 	cfg.Upstreams = []string{lagging.addr}
-	f = startFollower(t, cfg)
+	f = startClient(t, cfg)
 	require.Never(t, func() bool { return f.client.Revision() != 0 }, 2*confirmTimeout, 10*time.Millisecond)
 	lagging.advance(500, false)
 	<-f.client.Ready()
 	require.EqualValues(t, 500, f.client.Revision())
 }
 
-// TestStartWithoutQuorum takes the highest revision of the neighbours, but not
-// one below the floor.
+// TestStartWithoutQuorum applies the highest revision of the sources, but none
+// below the floor.
 func TestStartWithoutQuorum(t *testing.T) {
 	var newest atomic.Uint64
 	var cfg ClientConfig
@@ -274,14 +274,14 @@
 		cfg.Upstreams = append(cfg.Upstreams, s.addr)
 	}
 	cfg.Name, cfg.StartWait, cfg.Patience = "f", 100*time.Millisecond, time.Second
-	f := startFollower(t, cfg)
+	f := startClient(t, cfg)
 	<-f.client.Ready()
 	require.EqualValues(t, 40, f.client.Revision())
 	require.True(t, f.client.Unconfirmed())
 
 	cfg.FloorPath = filepath.Join(t.TempDir(), "floor")
 	sources[1].advance(45, false)
-	f = startFollower(t, cfg)
+	f = startClient(t, cfg)
 	require.Eventually(t, func() bool { return f.client.Revision() == 45 }, waitLong, 5*time.Millisecond)
 	f.stop()
 	sources[1].stop()
@@ -292,8 +292,8 @@
 	require.EqualValues(t, 46, f.client.Revision())
 }
 
-// TestSilentSourceIsLeft connects to a source that accepts and says nothing,
-// as a frozen process does.
+// TestSilentSourceIsLeft connects to a source that accepts the connection and sends
+// nothing, like a frozen process.
 func TestSilentSourceIsLeft(t *testing.T) {
 	frozen, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -302,7 +302,7 @@
 	newest.Store(3)
 	good := startSource(t, &newest)
 	good.advance(3, false)
-	f := startFollower(t, ClientConfig{Name: "f", Upstreams: []string{frozen.Addr().String(), good.addr}, Patience: 300 * time.Millisecond})
+	f := startClient(t, ClientConfig{Name: "f", Upstreams: []string{frozen.Addr().String(), good.addr}, Patience: 300 * time.Millisecond})
 	<-f.client.Ready()
 	require.EqualValues(t, 3, f.client.Revision())
 }
--- a/internal/configfeed/confirmer.go
+++ b/internal/configfeed/confirmer.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// errNoConfirm says that a source has no way to ask a quorum.
-var errNoConfirm = errors.New("source can't ask a quorum")
+// errNoConfirm means that a source is not configured to reach a quorum.
+var errNoConfirm = errors.New("source has no access to a quorum")
 
-// confirmer lets many subscribers share one question to the quorum: those who
-// come while a question is under way wait for the next one, since only an
-// answer to a question asked after they came tells them enough.
+// confirmer shares quorum reads between subscribers. A caller that arrives during
+// a read waits for the next one, since only a read that begins after its arrival
+// covers all changes accepted before.
 type confirmer struct {
-	ask     func(context.Context) (uint64, error)
+	read    func(context.Context) (uint64, error)
 	timeout time.Duration
 
 	mu      sync.Mutex
 	running bool
-	next    *round
+	next    *quorumRead
 }
 
-// round is one question and those who wait for its answer.
-type round struct {
+// quorumRead is one read and its result, shared by the callers that wait for it.
+type quorumRead struct {
 	done     chan struct{}
 	revision uint64
 	err      error
 }
 
-func newConfirmer(ask func(context.Context) (uint64, error), timeout time.Duration) *confirmer {
-	if ask == nil {
-		ask = func(context.Context) (uint64, error) { return 0, errNoConfirm }
+func newConfirmer(read func(context.Context) (uint64, error), timeout time.Duration) *confirmer {
+	if read == nil {
+		read = func(context.Context) (uint64, error) { return 0, errNoConfirm }
 	}
-	return &confirmer{ask: ask, timeout: timeout}
+	return &confirmer{read: read, timeout: timeout}
 }
 
 func (c *confirmer) do(ctx context.Context) (uint64, error) {
@@ -46,11 +46,11 @@
 	}
 }
 
-func (c *confirmer) join() *round {
+func (c *confirmer) join() *quorumRead {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.next == nil {
-		c.next = &round{done: make(chan struct{})}
+		c.next = &quorumRead{done: make(chan struct{})}
 	}
 	if !c.running {
 		c.running = true
@@ -59,17 +59,17 @@
 	return c.next
 }
 
-// run asks until nobody waits any more.
+// run performs reads until no caller waits for one.
 func (c *confirmer) run() {
-	for r := c.take(); r != nil; r = c.take() {
+	for r := c.takeNext(); r != nil; r = c.takeNext() {
 		ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
-		r.revision, r.err = c.ask(ctx)
+		r.revision, r.err = c.read(ctx)
 		cancel()
 		close(r.done)
 	}
 }
 
-func (c *confirmer) take() *round {
+func (c *confirmer) takeNext() *quorumRead {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.next
--- a/internal/configfeed/confirmer_test.go
+++ b/internal/configfeed/confirmer_test.go
@@ -10,12 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestConfirmerAsksAfterTheCaller checks that nobody gets the answer to a
-// question asked before they came, and that many share one.
-func TestConfirmerAsksAfterTheCaller(t *testing.T) {
-	var accepted, asked atomic.Uint64
+// TestConfirmerReadsAfterCallerArrives checks that no caller gets the result of a
+// read that began before its call, and that callers share reads.
+func TestConfirmerReadsAfterCallerArrives(t *testing.T) {
+	var accepted, reads atomic.Uint64
 	c := newConfirmer(func(context.Context) (uint64, error) {
-		asked.Add(1)
+		reads.Add(1)
 		revision := accepted.Load()
 		time.Sleep(2 * time.Millisecond)
 		return revision, nil
@@ -33,7 +33,7 @@
 		})
 	}
 	wg.Wait()
-	require.Less(t, asked.Load(), uint64(callers*10), "callers share questions")
+	require.Less(t, reads.Load(), uint64(callers*10), "callers share reads")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := c.do(ctx)
--- a/internal/configfeed/floor.go
+++ b/internal/configfeed/floor.go
@@ -11,15 +11,16 @@
 	"lynxgate.dev/lynxgate/internal/durable"
 )
 
-// floorMode lets every user read the revision: it is no secret.
+// floorMode allows all users to read the revision, which is not secret.
 const floorMode = 0o644
 
-// floorFile keeps the highest revision that was in force, synced, so that it
-// does not fall when the process restarts. An empty path keeps nothing.
+// floorFile stores the revision floor: the highest revision that was in force. It
+// keeps the revision from decreasing over a restart. With an empty path nothing
+// is stored.
 type floorFile struct{ path string }
 
-// load returns the revision kept, 0 if there is none yet. A file that does not
-// hold a number is an error: to ignore it could let the revision fall.
+// load returns the stored revision, 0 if there is none. A file without a valid
+// number is an error, since ignoring it could let the revision decrease.
 func (f floorFile) load() (uint64, error) {
 	if f.path == "" {
 		return 0, nil
@@ -38,7 +39,7 @@
 	return revision, nil
 }
 
-// save writes the revision beside the file, syncs it and renames it into place.
+// save replaces the file atomically and syncs it.
 func (f floorFile) save(revision uint64) error {
 	if f.path == "" {
 		return nil
--- a/internal/configfeed/metrics.go
+++ b/internal/configfeed/metrics.go
@@ -17,7 +17,7 @@
 	kindHeartbeat = "heartbeat"
 )
 
-// updateKind is the label value of one message.
+// updateKind returns the value of the label "kind" for a message.
 func updateKind(u *rpc.FeedUpdate) string {
 	if u.Snapshot {
 		return kindSnapshot
@@ -106,8 +106,8 @@
 	m.bytes.WithLabelValues(kind).Add(float64(proto.Size(u)))
 }
 
-// register registers a collector, or returns the one that is registered under
-// its name already: a process may hold several sources.
+// register registers a collector, or returns the one already registered under its
+// name, since a process may have several sources.
 func register[C prometheus.Collector](reg prometheus.Registerer, c C) C {
 	if reg == nil {
 		return c
--- a/internal/configfeed/parts_test.go
+++ b/internal/configfeed/parts_test.go
@@ -14,8 +14,8 @@
 	"lynxgate.dev/lynxgate/internal/keyspace"
 )
 
-// TestLargeUpdatesComeInParts sends a snapshot of several megabytes.
-func TestLargeUpdatesComeInParts(t *testing.T) {
+// TestLargeUpdatesAreSplit sends a snapshot of several megabytes.
+func TestLargeUpdatesAreSplit(t *testing.T) {
 	var newest atomic.Uint64
 	s := startSource(t, &newest)
 	var entries []*keyspace.Entry
@@ -33,7 +33,7 @@
 	require.Equal(t, 2000, client.View().Len())
 }
 
-func TestFloorRefusesGarbage(t *testing.T) {
+func TestInvalidFloorFileIsAnError(t *testing.T) {
 	f := floorFile{path: filepath.Join(t.TempDir(), "floor")}
 	require.NoError(t, f.save(7))
 	got, err := f.load()
@@ -41,7 +41,7 @@
 	require.EqualValues(t, 7, got)
 	require.NoError(t, os.WriteFile(f.path, []byte("x"), floorMode))
 	_, err = NewClient(ClientConfig{Upstreams: []string{"127.0.0.1:1"}, FloorPath: f.path})
-	require.Error(t, err, "to ignore it could let the revision fall")
+	require.Error(t, err, "ignoring it could let the revision decrease")
 }
 
 func TestRendezvousOrderSpreads(t *testing.T) {
@@ -53,7 +53,7 @@
 		require.ElementsMatch(t, addrs, order)
 		first[order[0]]++
 		if order[0] != addrs[3] {
-			require.Equal(t, order[0], RendezvousOrder(name, addrs[:3])[0], "only those of the lost address move")
+			require.Equal(t, order[0], RendezvousOrder(name, addrs[:3])[0], "only processes of the removed address change")
 		}
 	}
 	for _, addr := range addrs {
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestInboxMerges puts updates in any grouping and checks that what is taken
-// leads to the same view.
+// TestInboxMerges merges updates in random groups and checks that the result leads
+// to the same view.
 func TestInboxMerges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newInbox()
--- a/internal/configfeed/receive.go
+++ b/internal/configfeed/receive.go
@@ -11,10 +11,11 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// maxUpdateKeys bounds one update in keys; a source that sends more is broken.
+// maxUpdateKeys bounds the number of keys in one update, and so the memory that a
+// faulty source can use.
 const maxUpdateKeys = 200_000
 
-// wholeUpdate is an update with all its parts.
+// wholeUpdate is an update joined from all its parts.
 type wholeUpdate struct {
 	revision  uint64
 	snapshot  bool
@@ -22,12 +23,12 @@
 	changes   []*keyspace.Entry
 }
 
-// inbox holds what a source has sent and the client has not taken yet, merged
-// into one update, so that a client that is slow for a while (as when its disk
-// is) takes many revisions at once rather than fall behind ever further. It is
-// bounded by the number of keys.
+// inbox holds the updates received and not yet handled, merged into one update, so
+// that a client that is slow for a while (for example because of its disk) handles
+// many revisions at once instead of falling further behind. Its size is bounded by
+// the number of keys.
 type inbox struct {
-	// ready holds a token while there is something to take.
+	// ready has an element while there is an update or an error to take.
 	ready chan struct{}
 
 	mu      sync.Mutex
@@ -38,7 +39,7 @@
 
 func newInbox() *inbox { return &inbox{ready: make(chan struct{}, 1)} }
 
-// put merges an update into what waits.
+// put merges an update into the pending one.
 func (b *inbox) put(u wholeUpdate) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,7 +59,7 @@
 	b.wake()
 }
 
-// fail notes that the stream has ended.
+// fail records the error that ended the stream.
 func (b *inbox) fail(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,8 +74,8 @@
 	}
 }
 
-// take returns what waits, nil if there is nothing, and the error that ended
-// the stream.
+// take removes and returns the pending update, nil if there is none, and the error
+// that ended the stream.
 func (b *inbox) take() (*wholeUpdate, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -87,12 +88,12 @@
 	return u, b.err
 }
 
-// receive reads a stream into an inbox until it fails or ctx ends.
+// receive reads a stream into an inbox until the stream fails or ctx is done.
 func receive(ctx context.Context, stream rpc.DRPCFeed_SubscribeClient, metrics clientMetrics) *inbox {
 	b := newInbox()
 	go func() {
 		for ctx.Err() == nil {
-			u, err := receiveWhole(stream, metrics)
+			u, err := receiveUpdate(stream, metrics)
 			if err != nil {
 				b.fail(err)
 				return
@@ -103,8 +104,8 @@
 	return b
 }
 
-// receiveWhole reads the parts of one update.
-func receiveWhole(stream rpc.DRPCFeed_SubscribeClient, metrics clientMetrics) (wholeUpdate, error) {
+// receiveUpdate reads the parts of one update.
+func receiveUpdate(stream rpc.DRPCFeed_SubscribeClient, metrics clientMetrics) (wholeUpdate, error) {
 	var u wholeUpdate
 	for {
 		part, err := stream.Recv()
--- a/internal/configfeed/source.go
+++ b/internal/configfeed/source.go
@@ -10,42 +10,43 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// DefaultHeartbeat is the longest time between two updates to a subscriber.
+// DefaultHeartbeat is the default of SourceConfig.Heartbeat.
 const DefaultHeartbeat = 2 * time.Second
 
-// maxPartBytes bounds one message of a large update.
+// maxPartBytes is the size from which an update is continued in another message.
 const maxPartBytes = 256 << 10
 
-// SourceConfig says how a Source serves its subscribers.
+// SourceConfig sets how a Source serves its subscribers.
 type SourceConfig struct {
-	// Store is served.
+	// Store to serve.
 	Store *Store
-	// Confirmed reports whether the store's view was confirmed with a quorum lately.
+	// Confirmed reports whether the store's view was recently confirmed with a quorum.
 	Confirmed func() bool
-	// Confirm returns a revision that is no lower than any change accepted
-	// before the call began; it asks a quorum.
+	// Confirm reads from a quorum a revision no lower than that of any change
+	// accepted before the call.
 	Confirm func(context.Context) (uint64, error)
-	// Heartbeat is the longest time between two updates; DefaultHeartbeat if 0.
+	// Heartbeat is the maximum time between two updates to a subscriber;
+	// DefaultHeartbeat if 0.
 	Heartbeat time.Duration
 	// ConfirmTimeout bounds one Confirm; DefaultConfirmTimeout if 0.
 	ConfirmTimeout time.Duration
-	// Registerer takes the metrics; may be nil.
+	// Registerer registers the metrics; may be nil.
 	Registerer prometheus.Registerer
 }
 
-// DefaultConfirmTimeout bounds one call of SourceConfig.Confirm.
+// DefaultConfirmTimeout is the default of SourceConfig.ConfirmTimeout.
 const DefaultConfirmTimeout = 3 * time.Second
 
-// Source serves rpc.Feed from a Store. An update is computed when it is sent,
-// from what the subscriber holds by then: a slow subscriber gets one larger
-// delta or a snapshot later, and nothing is buffered for it.
+// Source serves rpc.Feed from a Store. An update is computed when it is sent, from
+// the revision that the subscriber then has: a slow subscriber later gets a larger
+// delta or a snapshot, and nothing is buffered for it.
 type Source struct {
 	cfg     SourceConfig
 	confirm *confirmer
 	metrics sourceMetrics
 }
 
-// NewSource makes a source; register it with rpc.DRPCRegisterFeed.
+// NewSource returns a source; register it with rpc.DRPCRegisterFeed.
 func NewSource(cfg SourceConfig) *Source {
 	if cfg.Heartbeat == 0 {
 		cfg.Heartbeat = DefaultHeartbeat
@@ -61,7 +62,7 @@
 	}
 }
 
-// Subscribe implements rpc.DRPCFeedServer. It ends with the stream.
+// Subscribe implements rpc.DRPCFeedServer. It returns when the stream ends.
 func (s *Source) Subscribe(req *rpc.SubscribeRequest, stream rpc.DRPCFeed_SubscribeStream) error {
 	s.metrics.subscribers.Inc()
 	defer s.metrics.subscribers.Dec()
@@ -70,7 +71,7 @@
 	defer heartbeat.Stop()
 	sub := subscription{prefixes: req.Prefixes, have: req.HaveRevision}
 	if req.NeedConfirmed {
-		sub.unproven = !s.awaitConfirmed(ctx)
+		sub.confirmFailed = !s.awaitConfirmed(ctx)
 	}
 	for {
 		changed := s.cfg.Store.Changed()
@@ -86,8 +87,8 @@
 	}
 }
 
-// awaitConfirmed waits until the store holds all that was accepted before, as
-// a quorum says. It reports false when no quorum answers in time.
+// awaitConfirmed waits until the store has all changes accepted by a quorum before
+// the call. It returns false if that is not so within ConfirmTimeout.
 func (s *Source) awaitConfirmed(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.ConfirmTimeout)
 	defer cancel()
@@ -98,24 +99,25 @@
 	return s.cfg.Store.Wait(ctx, revision) == nil
 }
 
-// subscription is what a source knows of one subscriber.
+// subscription is the state of one subscriber at a source.
 type subscription struct {
 	prefixes []string
-	// have is the revision that the subscriber holds.
+	// have is the revision that the subscriber has.
 	have uint64
-	// unproven is true for a subscriber that asked for a confirmed revision
-	// and could not have one. It has to subscribe again: the first update with
-	// the state of then may still wait in its queue.
-	unproven bool
+	// confirmFailed is true if the subscriber requested a confirmed revision and
+	// awaitConfirmed failed. All its updates are then sent as unconfirmed, and it
+	// has to subscribe again: the first update, with an older state, may still be
+	// in its receive queue.
+	confirmFailed bool
 }
 
-// send brings the subscriber to the view in force. A subscriber that is ahead
-// of the source learns where the source stands and gets deltas from where the
-// subscriber stands, once the source has come that far.
+// send updates the subscriber to the view in force. A subscriber ahead of the
+// source gets empty updates with the revision of the source, and deltas once the
+// source has passed the revision of the subscriber.
 func (s *Source) send(stream rpc.DRPCFeed_SubscribeStream, sub *subscription) error {
 	u := s.cfg.Store.since(sub.have)
 	sub.have = max(sub.have, u.revision)
-	confirmed := s.cfg.Confirmed() && !sub.unproven
+	confirmed := s.cfg.Confirmed() && !sub.confirmFailed
 	parts := splitParts(u, sub.prefixes)
 	for i, part := range parts {
 		part.Confirmed = confirmed
@@ -128,7 +130,7 @@
 	return nil
 }
 
-// splitParts makes the messages of one update, each of bounded size.
+// splitParts splits an update into messages of bounded size.
 func splitParts(u update, prefixes []string) []*rpc.FeedUpdate {
 	part := &rpc.FeedUpdate{Revision: u.revision, Snapshot: u.snapshot}
 	parts := []*rpc.FeedUpdate{part}
--- a/internal/configfeed/store.go
+++ b/internal/configfeed/store.go
@@ -10,9 +10,9 @@
 
 // Bounds of the history that a Store keeps for deltas.
 const (
-	// maxHistoryDeltas is the most revisions kept.
+	// maxHistoryDeltas is the maximum number of deltas kept.
 	maxHistoryDeltas = 1024
-	// maxHistoryBytes is the most bytes of deltas kept.
+	// maxHistoryBytes is the maximum total size of the deltas kept.
 	maxHistoryBytes = 4 << 20
 )
 
@@ -22,34 +22,34 @@
 	view atomic.Pointer[keyspace.View]
 
 	mu sync.Mutex
-	// history is nil until a source serves the store: who feeds nobody needs
-	// no deltas.
+	// history is nil until a Source serves the store, since deltas are needed for
+	// subscribers only.
 	history *keyspace.History
 	changed chan struct{}
 }
 
-// NewStore makes a store with an empty view at revision 0.
+// NewStore returns a store with an empty view at revision 0.
 func NewStore() *Store {
 	s := &Store{changed: make(chan struct{})}
 	s.view.Store(keyspace.NewView(0, nil))
 	return s
 }
 
-// View returns the view in force; it never changes after it was returned.
+// View returns the view in force. The returned view is immutable.
 func (s *Store) View() *keyspace.View { return s.view.Load() }
 
 // Revision returns the revision in force.
 func (s *Store) Revision() uint64 { return s.View().Revision() }
 
-// Changed returns a channel that is closed when the next view comes into
-// force. Take the channel before reading the view, so that none is missed.
+// Changed returns a channel that is closed when the next view comes into force.
+// Get the channel before reading the view, so that no view is missed.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// keepHistory keeps deltas from now on.
+// keepHistory starts to record deltas.
 func (s *Store) keepHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +58,7 @@
 	}
 }
 
-// Advance puts a view into force that follows from the one before by changes.
+// Advance puts into force a view that differs from the previous one by changes.
 func (s *Store) Advance(view *keyspace.View, changes []*keyspace.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +68,7 @@
 	s.publish(view)
 }
 
-// Replace puts a view into force that was read as a whole.
+// Replace puts into force a view without known changes from the previous one.
 func (s *Store) Replace(view *keyspace.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +84,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Wait returns when the revision in force is at least revision.
+// Wait waits until the revision in force is at least revision.
 func (s *Store) Wait(ctx context.Context, revision uint64) error {
 	for {
 		changed := s.Changed()
@@ -99,16 +99,15 @@
 	}
 }
 
-// update is what brings a subscriber from one revision to another.
+// update is a delta or snapshot that brings a subscriber to a revision.
 type update struct {
 	revision uint64
 	snapshot bool
 	changes  []*keyspace.Entry
 }
 
-// since returns the update for a subscriber that holds revision have: a delta
-// where the history reaches back that far, a snapshot otherwise. Only a source
-// calls it.
+// since returns the update for a subscriber at revision have: a delta if the
+// history reaches back that far, a snapshot otherwise. It requires keepHistory.
 func (s *Store) since(have uint64) update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
