--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -64,7 +64,7 @@
 		changed := f.plan(t)
 		require.LessOrEqual(t, len(changed.Assignments), 1, "only the replacement changes")
 		require.NotContains(t, changed.Assignments, victim)
-		f.stepAgents() // the next VM goes down before the repair is complete
+		f.stepAgents() // the next VM goes down before the replacement is live
 	}
 	f.settle(t)
 	require.Equal(t, 5, f.liveOn("v1"))
--- a/internal/placement/select.go
+++ b/internal/placement/select.go
@@ -67,8 +67,8 @@
 	rank rank
 }
 
-// zoneCandidates holds the candidates of one zone, sorted by rank. The first
-// chosen of them have been chosen.
+// zoneCandidates holds the candidates of one zone, sorted by rank; chosen counts
+// those already chosen, from the start of the list.
 type zoneCandidates struct {
 	zone, region string
 	list         []candidate
