--- a/internal/fleetcontrol/writers.go
+++ b/internal/fleetcontrol/writers.go
@@ -54,7 +54,7 @@
 		return
 	}
 	r.log.Warn().Str("server", truncate(id)).Str("reason", reason).Str("error", truncate(err.Error())).Int("untold", r.unlogged).
-		Msg("announcement refused")
+		Msg("announcement names no backend server")
 	r.loggedAt, r.unlogged = now, 0
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -95,14 +95,14 @@
 	}
 	c.g.balancer.Done(&c.choice, clock.Now(), ending)
 	if errors.Is(err, dispatch.ErrNotSent) {
-		c.logAttempt("attempt failed", err)
+		c.logAttempt("send failed", err)
 		c.allowLastServer(ending)
 		return attemptAgain
 	}
 	c.countAttempt()
 	c.mayHaveRun = true
 	c.recordFailure(ending, false, err)
-	c.logAttempt("attempt failed", err)
+	c.logAttempt("send failed", err)
 	if watch.weightsExpired.Load() && c.route.Idempotent() {
 		return attemptAgain // it has most likely not begun
 	}
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -84,7 +84,7 @@
 		choice: choice, why: why, next: newWatchdog(w.parent, choice.Server), settled: make(chan struct{}),
 		request: c.request(choice.Server),
 	}
-	c.logHandover("handover to another server started", w, c.handover, nil)
+	c.logHandover("another server is asked to go on", w, c.handover, nil)
 	return c.handover
 }
 
--- a/internal/gateway/handover_attempt.go
+++ b/internal/gateway/handover_attempt.go
@@ -135,5 +135,5 @@
 	}
 	h.next.cancel()
 	c.g.balancer.Done(&h.choice, clock.Now(), ending)
-	c.logHandover("handover failed; the request stays at its server", w, h, err)
+	c.logHandover("request stays at its server", w, h, err)
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -70,7 +70,7 @@
 	c.endedBy = "entry: " + string(h.why)
 	c.noteInterrupted()
 	c.g.balancer.Done(&c.choice, clock.Now(), ending)
-	c.logAttempt("request handed over to another server", nil)
+	c.logAttempt("request goes on at another server", nil)
 	c.next = h
 }
 
