--- a/internal/weights/swarm/bits.go
+++ b/internal/weights/swarm/bits.go
@@ -16,7 +16,7 @@
 // Clear removes i.
 func (b Bits) Clear(i int) { b[i/wordBits] &^= 1 << (i % wordBits) }
 
-// Has says whether i is in the set.
+// Has reports whether i is in the set.
 func (b Bits) Has(i int) bool { return b[i/wordBits]&(1<<(i%wordBits)) != 0 }
 
 // Count returns the number of members.
--- a/internal/weights/swarm/choose.go
+++ b/internal/weights/swarm/choose.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// schedule fills the free places for requests to peers and to the origin.
+// schedule returns new requests to the origin and to peers, up to the limits on
+// concurrent requests.
 func (s *State) schedule(now time.Time) []Action {
 	if s.Complete() {
 		return nil
 	}
 	out := s.scheduleOrigin(now)
-	for s.askedOfPeers() < s.cfg.Window {
+	for s.peerRequests() < s.cfg.Window {
 		p, index := s.choose(now)
 		if p == nil {
 			break
 		}
-		out = append(out, s.ask(p, index, now))
+		out = append(out, s.requestFrom(p, index, now))
 	}
 	return append(out, s.scheduleEndgame(now)...)
 }
 
-func (s *State) askedOfPeers() int {
+func (s *State) peerRequests() int {
 	count := 0
 	for _, r := range s.order {
 		if r.peer != nil {
@@ -28,13 +29,13 @@
 	return count
 }
 
-func (s *State) ask(p *peer, index int, now time.Time) Action {
-	r := s.start(p, index, now)
-	p.asked++
+func (s *State) requestFrom(p *peer, index int, now time.Time) Action {
+	r := s.startRequest(p, index, now)
+	p.inFlight++
 	return Request{ID: r.id, VM: p.VM, Index: index}
 }
 
-func (s *State) start(p *peer, index int, now time.Time) *request {
+func (s *State) startRequest(p *peer, index int, now time.Time) *request {
 	s.nextID++
 	r := &request{id: s.nextID, index: index, peer: p, started: now, progress: now}
 	s.requests[r.id] = r
@@ -43,18 +44,18 @@
 	return r
 }
 
-func (s *State) askable(p *peer, now time.Time) bool {
-	return p.up && p.asked < s.cfg.PerPeer && !now.Before(p.notAsked) && !now.Before(p.busy)
+func (s *State) available(p *peer, now time.Time) bool {
+	return p.connected && p.inFlight < s.cfg.PerPeer && !now.Before(p.notBefore) && !now.Before(p.busy)
 }
 
 // choose picks the peer with the shortest upload queue among those that hold
-// a chunk still to be asked for, so that no uploader idles while another has
-// a queue; of that peer's chunks it picks the rarest. Ties are broken by lot.
+// a needed chunk, so that no uploader idles while another has a queue. Of that
+// peer's chunks it picks the rarest. Ties are broken at random.
 func (s *State) choose(now time.Time) (*peer, int) {
 	var best *peer
 	ties := 0
 	for _, p := range s.peers {
-		if !s.askable(p, now) || !s.useful(p) {
+		if !s.available(p, now) || !s.hasNeeded(p) {
 			continue
 		}
 		switch {
@@ -73,10 +74,10 @@
 	return best, s.rarest(best)
 }
 
-func (p *peer) load() int { return p.queue + p.asked }
+func (p *peer) load() int { return p.queue + p.inFlight }
 
-// useful says whether p holds a chunk that is neither held nor asked for.
-func (s *State) useful(p *peer) bool {
+// hasNeeded reports whether p holds a chunk that is neither held nor requested.
+func (s *State) hasNeeded(p *peer) bool {
 	for w, word := range p.holds {
 		if word&^(s.held[w]|s.pending[w]) != 0 {
 			return true
@@ -104,8 +105,8 @@
 	return best
 }
 
-// scheduleEndgame asks a second peer for a chunk when every missing chunk has
-// been asked for and one takes longer than usual.
+// scheduleEndgame hedges slow requests: once every missing chunk has been
+// requested, it requests a chunk that takes longer than usual from a second peer.
 func (s *State) scheduleEndgame(now time.Time) []Action {
 	missing := s.n - s.held.Count()
 	if s.pending.Count() < missing {
@@ -113,23 +114,23 @@
 	}
 	var out []Action
 	for _, r := range s.order {
-		if s.askedOfPeers() >= s.cfg.Window {
+		if s.peerRequests() >= s.cfg.Window {
 			break
 		}
-		if now.Sub(r.started) < endgameFactor*s.usual || s.asks(r.index) > 1 {
+		if now.Sub(r.started) < endgameFactor*s.average || s.requestsFor(r.index) > 1 {
 			continue
 		}
-		if p := s.spare(r, now); p != nil {
-			out = append(out, s.ask(p, r.index, now))
+		if p := s.alternative(r, now); p != nil {
+			out = append(out, s.requestFrom(p, r.index, now))
 		}
 	}
 	return out
 }
 
-// endgameFactor times the usual duration makes a request a slow one.
+// A request is slow if it takes longer than endgameFactor times the average.
 const endgameFactor = 2
 
-func (s *State) asks(index int) int {
+func (s *State) requestsFor(index int) int {
 	count := 0
 	for _, r := range s.order {
 		if r.index == index {
@@ -139,11 +140,11 @@
 	return count
 }
 
-// spare returns the least loaded other peer that holds r's chunk.
-func (s *State) spare(r *request, now time.Time) *peer {
+// alternative returns the least loaded other peer that holds r's chunk, or nil.
+func (s *State) alternative(r *request, now time.Time) *peer {
 	var best *peer
 	for _, p := range s.peers {
-		if p == r.peer || !s.askable(p, now) || !p.holds.Has(r.index) {
+		if p == r.peer || !s.available(p, now) || !p.holds.Has(r.index) {
 			continue
 		}
 		if best == nil || p.load() < best.load() {
--- a/internal/weights/swarm/event.go
+++ b/internal/weights/swarm/event.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Event is something that happened to a member.
+// Event is an input to State.Step.
 type Event interface{ event() }
 
-// MembersChanged gives all members of the swarm, this one included or not.
+// MembersChanged lists all members of the swarm, with or without this one.
 type MembersChanged struct{ Members []Peer }
 
-// PeerHaves tells what a connected peer holds and has seen. Reset replaces
-// what it told before.
+// PeerHaves reports which chunks a connected peer holds and which it has seen
+// on any member. With Reset it replaces the peer's earlier reports.
 type PeerHaves struct {
 	VM    string
 	Reset bool
@@ -21,19 +21,19 @@
 	Queue     int
 }
 
-// PeerQueue tells the length of a peer's upload queue.
+// PeerQueue reports the length of a peer's upload queue.
 type PeerQueue struct {
 	VM    string
 	Queue int
 }
 
-// PeerLost says that a peer is no longer connected.
+// PeerLost reports that the connection to a peer was lost.
 type PeerLost struct{ VM string }
 
-// Progress says that a request has brought bytes.
+// Progress reports that a request has received bytes.
 type Progress struct{ ID uint64 }
 
-// Outcome is how a request ended.
+// Outcome is the result of a request.
 type Outcome int
 
 // The outcomes of a request.
@@ -42,26 +42,29 @@
 	Verified Outcome = iota
 	// Corrupt: the bytes did not match the digest.
 	Corrupt
-	// NotHeld: the peer does not have what it said it had.
+	// NotHeld: the peer does not hold the chunk that it reported.
 	NotHeld
-	// Busy: the peer's queue is full; RetryAfter says how long.
+	// Busy: the peer's upload queue is full; retry after RetryAfter.
 	Busy
-	// Limited: origin or store refused for its rate; RetryAfter says how long.
+	// Limited: the origin or the store limits the request rate; retry after
+	// RetryAfter.
 	Limited
-	// Failed: anything else on the way.
+	// Failed: any other failure of the peer, the origin or the network.
 	Failed
-	// Dropped: the fault was on this side (scratch folder); nobody is blamed.
+	// Dropped: a local failure (scratch folder) that does not count against
+	// the peer or the origin.
 	Dropped
 )
 
-// Ended says how a request ended. Requests cancelled by an action do not end.
+// Ended reports the outcome of a request. Requests that were cancelled by an
+// action have no outcome.
 type Ended struct {
 	ID         uint64
 	Outcome    Outcome
 	RetryAfter time.Duration
 }
 
-// Tick lets time pass.
+// Tick makes Step check timeouts when nothing else has happened.
 type Tick struct{}
 
 func (MembersChanged) event() {}
@@ -72,43 +75,43 @@
 func (Ended) event()          {}
 func (Tick) event()           {}
 
-// Action is something that transfer shall do.
+// Action is something that package transfer has to carry out.
 type Action interface{ action() }
 
-// Connect asks for a link to a peer, which is kept up until Disconnect.
+// Connect opens a link to a peer. The link is reconnected until Disconnect.
 type Connect struct{ Peer Peer }
 
-// Disconnect ends the link to a peer.
+// Disconnect closes the link to a peer.
 type Disconnect struct{ VM string }
 
-// Request asks a connected peer for a chunk.
+// Request requests a chunk from a connected peer.
 type Request struct {
 	ID    uint64
 	VM    string
 	Index int
 }
 
-// Fetch asks the origin, or the weight store, for a chunk.
+// Fetch requests a chunk from the origin, or from the weight store.
 type Fetch struct {
 	ID    uint64
 	Index int
 	Store bool
 }
 
-// Cancel ends a request without an outcome.
+// Cancel cancels a request; no Ended event follows.
 type Cancel struct{ ID uint64 }
 
-// Seen says that chunks are now known to be held by some member.
+// Seen reports chunks that are newly known to be held by some member.
 type Seen struct{ Indexes []int }
 
-// SetAside says that a peer is not asked for a time because of its strikes.
+// SetAside reports that a peer is ejected for a time because of its strikes.
 type SetAside struct {
 	VM  string
 	For time.Duration
 }
 
-// Stalled says that a request was given up for want of progress. VM is empty
-// for the origin.
+// Stalled reports that a request was cancelled because it made no progress. VM
+// is empty for the origin.
 type Stalled struct{ VM string }
 
 func (Connect) action()    {}
--- a/internal/weights/swarm/model_test.go
+++ b/internal/weights/swarm/model_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// conduct is how a member of the model answers its peers.
-type conduct int
+// behaviour is how a member of the model answers its peers.
+type behaviour int
 
 const (
-	honest  conduct = iota
-	corrupt         // sends other bytes
-	liar            // claims every chunk and holds none
-	stalled         // claims what it holds and never sends it
-	conducts
+	honest  behaviour = iota
+	corrupt           // sends wrong bytes
+	liar              // reports every chunk and holds none
+	stalled           // reports what it holds and never sends it
+	behaviours
 )
 
-// model runs States against one another in virtual time.
+// model simulates a swarm of States in virtual time.
 type model struct {
 	now     time.Time
 	rng     *rand.Rand
@@ -26,24 +26,24 @@
 	members []*actor
 	byVM    map[string]*actor
 	chunks  int
-	// originUp says whether the origin answers; nil means always.
+	// originUp reports whether the origin answers; nil means always.
 	originUp func(now time.Time) bool
-	// originTime is how long a fetch takes without a sign of progress.
+	// originTime is how long a fetch takes without a Progress event.
 	originTime time.Duration
-	limited    float64     // share of fetches refused for their rate
-	fetched    map[int]int // fetches from the origin by chunk
+	limited    float64     // share of fetches that get the outcome Limited
+	fetched    map[int]int // completed fetches from the origin by chunk
 	problems   []string
 }
 
 type actor struct {
-	model   *model
-	peer    Peer
-	conduct conduct
-	state   *State
-	dead    bool
-	told    map[string]*actor // subscribers
-	links   map[string]bool
-	open    map[uint64]int // requests in flight: chunk
+	model       *model
+	peer        Peer
+	behaviour   behaviour
+	state       *State
+	dead        bool
+	subscribers map[string]*actor // subscribers
+	links       map[string]bool
+	open        map[uint64]int // requests in flight: chunk
 }
 
 type eventAt struct {
@@ -86,12 +86,12 @@
 	return m
 }
 
-// add makes one more member, which knows of the others only when told.
+// add adds a member, which does not know the others before a MembersChanged.
 func (m *model) add(held []int) *actor {
 	i := len(m.members)
 	a := &actor{
 		model: m, peer: Peer{VM: fmt.Sprintf("vm-%d", i), Zone: fmt.Sprintf("zone-%d", i%2)},
-		told: map[string]*actor{}, links: map[string]bool{}, open: map[uint64]int{},
+		subscribers: map[string]*actor{}, links: map[string]bool{}, open: map[uint64]int{},
 	}
 	a.restart(held)
 	m.members = append(m.members, a)
@@ -114,7 +114,7 @@
 	return list
 }
 
-// start tells everybody of everybody and begins the ticks.
+// start gives every member the list of all members and starts the ticks.
 func (m *model) start() {
 	for _, a := range m.members {
 		a.step(MembersChanged{Members: m.peers()})
@@ -129,7 +129,8 @@
 	m.after(TickInterval, m.tick)
 }
 
-// run goes on until all living honest members are complete, or the limit.
+// run runs events until all live honest members are complete, or until the
+// limit. It reports whether they are complete.
 func (m *model) run(limit time.Duration) bool {
 	end := m.now.Add(limit)
 	for len(m.events.list) > 0 && m.now.Before(end) {
@@ -145,7 +146,7 @@
 
 func (m *model) done() bool {
 	for _, a := range m.members {
-		if !a.dead && a.conduct == honest && !a.state.Complete() {
+		if !a.dead && a.behaviour == honest && !a.state.Complete() {
 			return false
 		}
 	}
@@ -169,7 +170,7 @@
 		m.after(m.delay(10), func() { a.connect(m.byVM[x.Peer.VM]) })
 	case Disconnect:
 		delete(a.links, x.VM)
-		delete(m.byVM[x.VM].told, a.peer.VM)
+		delete(m.byVM[x.VM].subscribers, a.peer.VM)
 	case Request:
 		a.check(x.ID, x.Index)
 		if !a.links[x.VM] {
@@ -183,12 +184,13 @@
 		delete(a.open, x.ID)
 	case Seen:
 		for _, i := range x.Indexes {
-			a.tell(PeerHaves{VM: a.peer.VM, SeenAdded: []uint32{uint32(i)}})
+			a.broadcast(PeerHaves{VM: a.peer.VM, SeenAdded: []uint32{uint32(i)}})
 		}
 	}
 }
 
-// check looks at what must hold of every request.
+// check verifies that a request is for a chunk that is not held, and that at
+// most two requests are open for it.
 func (a *actor) check(id uint64, index int) {
 	same := 0
 	for _, i := range a.open {
@@ -197,7 +199,7 @@
 		}
 	}
 	if a.state.held.Has(index) || same > 1 {
-		a.model.problems = append(a.model.problems, "chunk asked for in vain")
+		a.model.problems = append(a.model.problems, "request for a chunk that is held or requested twice already")
 	}
 	a.open[id] = index
 }
@@ -216,11 +218,11 @@
 		m.after(m.delay(200), func() { a.connect(to) })
 		return
 	}
-	to.told[a.peer.VM] = a
+	to.subscribers[a.peer.VM] = a
 	holds, seen := NewBits(m.chunks), NewBits(m.chunks)
 	copy(holds, to.state.held)
 	copy(seen, to.state.seen)
-	if to.conduct == liar {
+	if to.behaviour == liar {
 		for i := range m.chunks {
 			holds.Set(i)
 		}
@@ -228,8 +230,8 @@
 	a.step(PeerHaves{VM: to.peer.VM, Reset: true, Holds: holds, Seen: seen})
 }
 
-func (a *actor) tell(ev PeerHaves) {
-	for _, to := range a.told {
+func (a *actor) broadcast(ev PeerHaves) {
+	for _, to := range a.subscribers {
 		a.model.after(a.model.delay(10), func() {
 			if !a.dead {
 				to.step(ev)
@@ -238,7 +240,7 @@
 	}
 }
 
-// answer ends a request as the peer's conduct has it.
+// answer ends a request according to the peer's behaviour.
 func (a *actor) answer(id uint64, index int, from *actor) {
 	if _, ok := a.open[id]; !ok {
 		return
@@ -248,10 +250,10 @@
 		a.end(id, Failed)
 		a.step(PeerLost{VM: from.peer.VM})
 		a.model.after(a.model.delay(200), func() { a.connect(from) })
-	case from.conduct == stalled:
-	case from.conduct == liar || !from.state.held.Has(index):
+	case from.behaviour == stalled:
+	case from.behaviour == liar || !from.state.held.Has(index):
 		a.end(id, NotHeld)
-	case from.conduct == corrupt:
+	case from.behaviour == corrupt:
 		a.end(id, Corrupt)
 	default:
 		a.end(id, Verified)
@@ -276,7 +278,7 @@
 
 func (a *actor) fetchEnded(x Fetch) {
 	if _, ok := a.open[x.ID]; !ok {
-		return // given up
+		return // cancelled
 	}
 	a.model.fetched[x.Index]++
 	a.end(x.ID, Verified)
@@ -289,14 +291,14 @@
 	index := a.open[id]
 	delete(a.open, id)
 	if outcome == Verified {
-		a.tell(PeerHaves{VM: a.peer.VM, Added: []uint32{uint32(index)}})
+		a.broadcast(PeerHaves{VM: a.peer.VM, Added: []uint32{uint32(index)}})
 	}
 	a.step(Ended{ID: id, Outcome: outcome})
 }
 
-func (a *actor) die() {
+func (a *actor) crash() {
 	a.dead = true
-	for _, to := range a.told {
+	for _, to := range a.subscribers {
 		a.model.after(a.model.delay(5), func() {
 			to.step(PeerLost{VM: a.peer.VM})
 			a.model.after(a.model.delay(200), func() { to.connect(a) })
--- a/internal/weights/swarm/step.go
+++ b/internal/weights/swarm/step.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// usualWeight is the weight of a new duration in the smoothed one.
-	usualWeight = 0.1
-	// goodPerStrike verified chunks make up for one strike.
+	// averageWeight is the weight of a new duration in the moving average.
+	averageWeight = 0.1
+	// goodPerStrike verified chunks cancel one strike.
 	goodPerStrike = 32
-	// failedPause is the first pause after a failed or stalled request; it
-	// doubles with each one in a row up to maxPause.
-	failedPause = 100 * time.Millisecond
-	maxPause    = 30 * time.Second
+	// firstBackoff is the backoff after a failed request. It doubles with each
+	// consecutive failed or stalled request, up to maxBackoff.
+	firstBackoff = 100 * time.Millisecond
+	maxBackoff   = 30 * time.Second
 )
 
-// Step takes events, in the order in which they happened, and returns what is
-// to be done. All are taken in before anything is decided: whoever was kept from
-// running for a while must not judge others, or ask the origin, by a view that
-// is older than what it has been told. Call it with Tick at least every
-// TickInterval.
+// Step applies events, in the order in which they happened, and returns the
+// actions to carry out. It applies all events before it decides anything: a
+// process that did not run for a while must not take others for late, or fetch
+// from the origin, on a state older than the updates it has received. Call it
+// with Tick at least every TickInterval.
 func (s *State) Step(now time.Time, events ...Event) []Action {
-	if s.begun.IsZero() {
-		s.begin(now)
+	if s.started.IsZero() {
+		s.initialize(now)
 	}
 	var out []Action
 	decide := false
 	for _, ev := range events {
-		out = append(out, s.take(ev, now)...)
+		out = append(out, s.apply(ev, now)...)
 		if _, progress := ev.(Progress); !progress {
-			decide = true // progress frees nothing, so there is nothing to schedule
+			decide = true // progress frees no request slot, so there is nothing to schedule
 		}
 	}
 	if !decide {
 		return out
 	}
-	out = append(out, s.expire(now)...)
+	out = append(out, s.cancelStalled(now)...)
 	return append(out, s.schedule(now)...)
 }
 
-// take brings the state up to date with an event.
-func (s *State) take(ev Event, now time.Time) []Action {
+// apply updates the state with an event.
+func (s *State) apply(ev Event, now time.Time) []Action {
 	switch ev := ev.(type) {
 	case MembersChanged:
 		return s.membersChanged(ev.Members, now)
@@ -65,16 +65,16 @@
 	return nil
 }
 
-// TickInterval is how often Step wants a Tick when nothing else happens.
+// TickInterval is how often Step needs a Tick when nothing else happens.
 const TickInterval = 25 * time.Millisecond
 
-func (s *State) begin(now time.Time) {
-	s.begun = now
+func (s *State) initialize(now time.Time) {
+	s.started = now
 	s.gained = now
 	for i := range s.absent {
 		s.absent[i] = now
 	}
-	s.feed.last = now
+	s.assignment.last = now
 }
 
 func (s *State) membersChanged(members []Peer, now time.Time) []Action {
@@ -82,11 +82,11 @@
 	s.candidates, s.base = neighbours(s.strategy, s.self, s.members, s.version)
 	s.wanted = s.base
 	out := s.connect(now)
-	s.feedersChanged(now)
+	s.assignFetchers(now)
 	return out
 }
 
-// connect makes the first of the candidates the peers.
+// connect makes the first s.wanted candidates the peers.
 func (s *State) connect(now time.Time) []Action {
 	if s.Complete() {
 		return nil
@@ -102,42 +102,42 @@
 	}
 	for _, w := range wanted {
 		if s.peer(w.VM) == nil {
-			s.peers = append(s.peers, &peer{Peer: w, holds: NewBits(s.n), doubted: now})
+			s.peers = append(s.peers, &peer{Peer: w, holds: NewBits(s.n), unhealthy: now})
 			out = append(out, Connect{Peer: w})
 		}
 	}
 	return out
 }
 
-// substitute adds a candidate for each peer that has been doubted for long.
+// substitute adds a candidate for each peer that has been unhealthy for long.
 func (s *State) substitute(now time.Time) []Action {
-	trusted := 0
+	healthy := 0
 	for _, p := range s.peers {
-		if p.doubted.IsZero() || now.Sub(p.doubted) < doubtFactor*s.cfg.ProgressTimeout {
-			trusted++
+		if p.unhealthy.IsZero() || now.Sub(p.unhealthy) < substituteFactor*s.cfg.ProgressTimeout {
+			healthy++
 		}
 	}
-	if trusted >= s.base || s.wanted >= len(s.candidates) {
+	if healthy >= s.base || s.wanted >= len(s.candidates) {
 		return nil
 	}
-	s.wanted = min(len(s.candidates), s.wanted+s.base-trusted)
+	s.wanted = min(len(s.candidates), s.wanted+s.base-healthy)
 	return s.connect(now)
 }
 
-// doubtFactor times the progress timeout a peer may be doubted before it gets
+// A peer that is unhealthy for substituteFactor times the progress timeout gets
 // a substitute.
-const doubtFactor = 2
+const substituteFactor = 2
 
-// drop forgets what a peer holds and gives up its requests.
+// drop clears what a peer holds and cancels its requests.
 func (s *State) drop(p *peer, now time.Time) []Action {
 	var out []Action
 	p.holds.each(func(i int) { s.removeCopy(i, now) })
 	p.holds = NewBits(s.n)
-	p.up = false
+	p.connected = false
 	p.queue = 0
 	for _, r := range slices.Clone(s.order) {
 		if r.peer == p {
-			s.end(r)
+			s.remove(r)
 			out = append(out, Cancel{ID: r.id})
 		}
 	}
@@ -156,7 +156,7 @@
 	if p == nil {
 		return nil
 	}
-	p.doubt(now)
+	p.markUnhealthy(now)
 	return s.drop(p, now)
 }
 
@@ -165,43 +165,44 @@
 	if p == nil {
 		return nil
 	}
-	p.up = true
-	if ev.Reset && p.stalls == 0 && !now.Before(p.notAsked) {
-		p.doubted = time.Time{}
+	p.connected = true
+	if ev.Reset && p.failures == 0 && !now.Before(p.notBefore) {
+		p.unhealthy = time.Time{}
 	}
 	p.setQueue(ev.Queue)
-	var news []int
+	var newlySeen []int
 	if ev.Reset {
 		p.holds.each(func(i int) { s.removeCopy(i, now) })
 		p.holds = NewBits(s.n)
-		ev.Holds.each(func(i int) { news = s.peerGained(p, i, now, news) })
-		ev.Seen.each(func(i int) { news = s.see(i, now, news) })
+		ev.Holds.each(func(i int) { newlySeen = s.peerGained(p, i, now, newlySeen) })
+		ev.Seen.each(func(i int) { newlySeen = s.markSeen(i, now, newlySeen) })
 	}
 	for _, i := range ev.Added {
 		if int(i) < s.n {
-			news = s.peerGained(p, int(i), now, news)
+			newlySeen = s.peerGained(p, int(i), now, newlySeen)
 		}
 	}
 	for _, i := range ev.SeenAdded {
 		if int(i) < s.n {
-			news = s.see(int(i), now, news)
+			newlySeen = s.markSeen(int(i), now, newlySeen)
 		}
 	}
-	if len(news) == 0 {
+	if len(newlySeen) == 0 {
 		return nil
 	}
-	return []Action{Seen{Indexes: news}}
+	return []Action{Seen{Indexes: newlySeen}}
 }
 
-func (s *State) peerGained(p *peer, i int, now time.Time, news []int) []int {
+func (s *State) peerGained(p *peer, i int, now time.Time, newlySeen []int) []int {
 	if !p.holds.Has(i) {
 		p.holds.Set(i)
 		s.copies[i]++
 	}
-	return s.see(i, now, news)
+	return s.markSeen(i, now, newlySeen)
 }
 
-// setQueue takes a peer's report; a short queue has room again.
+// setQueue records a peer's reported upload queue. With at most one request
+// queued, the peer accepts requests again.
 func (p *peer) setQueue(queue int) {
 	p.queue = queue
 	if queue <= 1 {
@@ -209,23 +210,24 @@
 	}
 }
 
-// see notes that some member holds chunk i.
-func (s *State) see(i int, now time.Time, news []int) []int {
+// markSeen records that some member holds chunk i, and appends i to newlySeen if
+// that was not known.
+func (s *State) markSeen(i int, now time.Time, newlySeen []int) []int {
 	if s.seen.Has(i) {
-		return news
+		return newlySeen
 	}
 	s.seen.Set(i)
 	s.absent[i] = now
-	s.feed.saw(i, now)
-	return append(news, i)
+	s.assignment.record(i, now)
+	return append(newlySeen, i)
 }
 
-// end removes a request.
-func (s *State) end(r *request) {
+// remove removes a request from all bookkeeping.
+func (s *State) remove(r *request) {
 	delete(s.requests, r.id)
 	s.order = slices.DeleteFunc(s.order, func(q *request) bool { return q == r })
 	if r.peer != nil {
-		r.peer.asked--
+		r.peer.inFlight--
 	}
 	if !slices.ContainsFunc(s.order, func(q *request) bool { return q.index == r.index }) {
 		s.pending.Clear(r.index)
@@ -237,27 +239,27 @@
 	if r == nil {
 		return nil
 	}
-	s.end(r)
+	s.remove(r)
 	var out []Action
 	if ev.Outcome == Verified {
-		out = s.gain(r, now)
+		out = s.recordVerified(r, now)
 	}
 	if r.peer == nil {
-		s.source.ended(ev, now.Sub(r.started), now)
+		s.source.requestEnded(ev, now.Sub(r.started), now)
 		return out
 	}
-	return append(out, s.judge(r.peer, r, ev, now)...)
+	return append(out, s.updateHealth(r.peer, r, ev, now)...)
 }
 
-// gain notes a verified chunk and cancels other requests for it.
-func (s *State) gain(r *request, now time.Time) []Action {
+// recordVerified records a verified chunk and cancels other requests for it.
+func (s *State) recordVerified(r *request, now time.Time) []Action {
 	var out []Action
 	s.held.Set(r.index)
 	s.gained = now
-	s.see(r.index, now, nil)
+	s.markSeen(r.index, now, nil)
 	for _, q := range slices.Clone(s.order) {
 		if q.index == r.index {
-			s.end(q)
+			s.remove(q)
 			out = append(out, Cancel{ID: q.id})
 		}
 	}
@@ -271,16 +273,16 @@
 	return out
 }
 
-// judge draws conclusions about the peer from how its request ended.
-func (s *State) judge(p *peer, r *request, ev Ended, now time.Time) []Action {
+// updateHealth updates the peer's health from the outcome of its request.
+func (s *State) updateHealth(p *peer, r *request, ev Ended, now time.Time) []Action {
 	switch ev.Outcome {
 	case Verified:
-		s.took(now.Sub(r.started))
-		p.stalls = 0
-		p.doubted = time.Time{}
-		p.good++
-		if p.good >= goodPerStrike && p.strikes > 0 {
-			p.good = 0
+		s.recordDuration(now.Sub(r.started))
+		p.failures = 0
+		p.unhealthy = time.Time{}
+		p.verified++
+		if p.verified >= goodPerStrike && p.strikes > 0 {
+			p.verified = 0
 			p.strikes--
 		}
 	case Corrupt:
@@ -294,75 +296,77 @@
 	case Busy, Limited:
 		p.busy = now.Add(ev.RetryAfter)
 	case Failed:
-		s.pause(p, failedPause, now)
+		s.backOff(p, firstBackoff, now)
 	case Dropped:
 	}
 	return nil
 }
 
-func (s *State) took(d time.Duration) { s.usual = smoothed(s.usual, d) }
+func (s *State) recordDuration(d time.Duration) { s.average = movingAverage(s.average, d) }
 
-// smoothed moves a usual duration towards a new one; 0 is none yet.
-func smoothed(usual, d time.Duration) time.Duration {
-	if usual == 0 {
+// movingAverage returns the moving average after a new duration; an average of 0
+// means that there is none yet.
+func movingAverage(average, d time.Duration) time.Duration {
+	if average == 0 {
 		return d
 	}
-	return usual + time.Duration(usualWeight*float64(d-usual))
+	return average + time.Duration(averageWeight*float64(d-average))
 }
 
 func (s *State) strike(p *peer, now time.Time) []Action {
 	p.strikes++
-	p.good = 0
+	p.verified = 0
 	if p.strikes < s.cfg.Strikes {
 		return nil
 	}
 	p.strikes = 0
-	p.notAsked = now.Add(s.cfg.AsideFor)
-	p.doubt(now)
+	p.notBefore = now.Add(s.cfg.AsideFor)
+	p.markUnhealthy(now)
 	return []Action{SetAside{VM: p.VM, For: s.cfg.AsideFor}}
 }
 
-// pause keeps a peer from being asked, longer with each time in a row.
-func (s *State) pause(p *peer, first time.Duration, now time.Time) {
-	p.notAsked = now.Add(backoff(first, p.stalls))
-	p.stalls++
-	p.doubt(now)
+// backOff sends no requests to a peer for a time that doubles with each
+// consecutive failure.
+func (s *State) backOff(p *peer, first time.Duration, now time.Time) {
+	p.notBefore = now.Add(backoff(first, p.failures))
+	p.failures++
+	p.markUnhealthy(now)
 }
 
-func (p *peer) doubt(now time.Time) {
-	if p.doubted.IsZero() {
-		p.doubted = now
+func (p *peer) markUnhealthy(now time.Time) {
+	if p.unhealthy.IsZero() {
+		p.unhealthy = now
 	}
 }
 
-func backoff(first time.Duration, times int) time.Duration {
-	return min(maxPause, first<<min(times, 10))
+func backoff(first time.Duration, failures int) time.Duration {
+	return min(maxBackoff, first<<min(failures, 10))
 }
 
-// patience is how long a request may bring nothing.
-func (s *State) patience(r *request) time.Duration {
+// progressTimeout is how long a request may receive no bytes.
+func (s *State) progressTimeout(r *request) time.Duration {
 	if r.peer == nil {
-		return s.source.patience(s.cfg.ProgressTimeout)
+		return s.source.progressTimeout(s.cfg.ProgressTimeout)
 	}
-	return max(s.cfg.ProgressTimeout, slowFactor*s.usual)
+	return max(s.cfg.ProgressTimeout, slowFactor*s.average)
 }
 
-// expire gives up requests without progress.
-func (s *State) expire(now time.Time) []Action {
+// cancelStalled cancels requests without progress.
+func (s *State) cancelStalled(now time.Time) []Action {
 	var out []Action
 	for _, r := range slices.Clone(s.order) {
-		patience := s.patience(r)
-		if now.Sub(r.progress) < patience {
+		timeout := s.progressTimeout(r)
+		if now.Sub(r.progress) < timeout {
 			continue
 		}
-		s.end(r)
+		s.remove(r)
 		out = append(out, Cancel{ID: r.id})
 		if r.peer == nil {
 			s.source.failed(now)
 			out = append(out, Stalled{})
 			continue
 		}
-		s.pause(r.peer, patience, now)
+		s.backOff(r.peer, timeout, now)
 		out = append(out, Stalled{VM: r.peer.VM})
 	}
 	return out
--- a/internal/weights/swarm/swarm.go
+++ b/internal/weights/swarm/swarm.go
@@ -1,13 +1,14 @@
-// Package swarm decides which chunk to ask of whom.
+// Package swarm decides which chunk to request from which source.
 //
 // State holds what one member knows about one model version: chunks held here,
-// held by connected peers and seen anywhere, requests in flight, and the
-// conduct of peers, origin and weight store. Step is pure: state + events + now
-// -> state + actions. It does no I/O, reads no clock, and its tie-breaks come
-// from a seeded source, so a run can be repeated exactly.
+// held by connected peers and seen on any member, requests in flight, and the
+// health of peers, origin and weight store. Step is deterministic: state + events
+// + now -> state + actions. It does no I/O, reads no clock, and breaks ties with a
+// seeded generator, so a run can be repeated exactly.
 //
-// Events come from transfer's links and HTTP fetches (event.go); actions tell
-// transfer what to connect, request and cancel (action.go).
+// Events come from the links and HTTP fetches of package transfer. Actions are
+// the connections, requests and cancellations that transfer has to carry out.
+// Both are in event.go.
 package swarm
 
 import (
@@ -16,7 +17,7 @@
 	"time"
 )
 
-// Strategy names who fetches from whom.
+// Strategy determines which members fetch from which.
 type Strategy string
 
 // The strategies. All but StrategySwarm are baselines for the bench.
@@ -25,7 +26,8 @@
 	StrategySwarm Strategy = "swarm"
 	// StrategyOrigin has every member fetch everything from the origin.
 	StrategyOrigin Strategy = "origin"
-	// StrategyZoneTree has a binary tree in each zone, its root fed by the origin.
+	// StrategyZoneTree has a binary tree in each zone, whose root fetches from the
+	// origin.
 	StrategyZoneTree Strategy = "zone-tree"
 	// StrategyChain has each member fetch from the one before it.
 	StrategyChain Strategy = "chain"
@@ -38,62 +40,65 @@
 	Addr string
 }
 
-// Config tunes the scheduler. Zero fields take the defaults below.
+// Config configures the scheduler. WithDefaults replaces zero fields.
 type Config struct {
-	// Window is the number of chunks asked of peers at once.
+	// Window is the maximum number of concurrent requests to peers.
 	Window int
-	// PerPeer is the number of chunks asked of one peer at once.
+	// PerPeer is the maximum number of concurrent requests to one peer.
 	PerPeer int
 	// OriginStreams is how many chunks the whole swarm fetches from the origin
-	// at once: few, so that the first chunks are soon whole and can spread.
+	// at once: few, so that the first chunks are soon complete and can spread.
 	OriginStreams int
-	// OriginDeadline is how long a designated fetcher may bring nothing
-	// before the next in order takes its place. It is no shorter than
+	// OriginDeadline is how long a designated fetcher may deliver nothing
+	// before the next in order replaces it. The deadline used is at least
 	// DeadlineChunks times the time that a chunk takes on the link.
 	OriginDeadline time.Duration
 	DeadlineChunks int
-	// ProgressTimeout is how long a request may bring no byte before it is
-	// given up; a request of a slow swarm is given slowFactor times the usual.
+	// ProgressTimeout is how long a request may receive no byte before it is
+	// cancelled. In a slow swarm the timeout is slowFactor times the average
+	// duration of a request.
 	ProgressTimeout time.Duration
-	// Strikes is the number of corrupt answers after which a peer is set
-	// aside, and AsideFor for how long.
+	// Strikes is the number of wrong answers (corrupt, or not held) after which
+	// a peer is ejected, and AsideFor is for how long.
 	Strikes  int
 	AsideFor time.Duration
 }
 
 // Defaults of Config.
 const (
-	DefaultWindow          = 6
-	DefaultPerPeer         = 2
-	DefaultOriginStreams   = 8
-	DefaultDeadlineTime    = 800 * time.Millisecond
-	DefaultDeadlineBytes   = 1000 * time.Millisecond
-	DefaultChunksTime      = 16
-	DefaultChunksBytes     = 20
-	DefaultProgressTimeout = time.Second
-	DefaultStrikes         = 3
-	DefaultAsideFor        = 30 * time.Second
+	DefaultWindow                          = 6
+	DefaultPerPeer                         = 2
+	DefaultOriginStreams                   = 8
+	DefaultDeadlinePreferTime              = 800 * time.Millisecond
+	DefaultDeadlinePreferOriginBytes       = 1000 * time.Millisecond
+	DefaultDeadlineChunksPreferTime        = 16
+	DefaultDeadlineChunksPreferOriginBytes = 20
+	DefaultProgressTimeout                 = time.Second
+	DefaultStrikes                         = 3
+	DefaultAsideFor                        = 30 * time.Second
 )
 
 const (
-	// fetcherCount is how many members fetch from the origin.
+	// fetcherCount is how many members fetch from the origin under
+	// StrategySwarm.
 	fetcherCount = 8
-	// slowFactor times the usual duration of a request is still no stall.
+	// A request is not stalled before slowFactor times the average duration.
 	slowFactor = 4
-	// lostRankLimit bounds how many deadlines a member waits before asking
-	// the origin for a chunk that was seen but that no peer has any more.
+	// lostRankLimit bounds a member's rank, and so the number of deadlines that
+	// it waits before it fetches a chunk that no healthy peer holds any more.
 	lostRankLimit = 16
 )
 
-// WithDefaults fills zero fields; the origin's deadline depends on whether
-// time or origin bytes weigh more.
-func (c Config) WithDefaults(preferBytes bool) Config {
+// WithDefaults returns c with defaults in place of zero fields. The deadline of
+// origin fetchers depends on whether few origin bytes or a short time is
+// preferred.
+func (c Config) WithDefaults(preferOriginBytes bool) Config {
 	setDefault(&c.Window, DefaultWindow)
 	setDefault(&c.PerPeer, DefaultPerPeer)
 	setDefault(&c.OriginStreams, DefaultOriginStreams)
-	deadline, chunks := DefaultDeadlineTime, DefaultChunksTime
-	if preferBytes {
-		deadline, chunks = DefaultDeadlineBytes, DefaultChunksBytes
+	deadline, chunks := DefaultDeadlinePreferTime, DefaultDeadlineChunksPreferTime
+	if preferOriginBytes {
+		deadline, chunks = DefaultDeadlinePreferOriginBytes, DefaultDeadlineChunksPreferOriginBytes
 	}
 	setDefault(&c.OriginDeadline, deadline)
 	setDefault(&c.DeadlineChunks, chunks)
@@ -110,25 +115,25 @@
 	}
 }
 
-// Params are what a State is made from.
+// Params are the parameters of a new State.
 type Params struct {
 	Self     Peer
 	Strategy Strategy
-	// Version seeds the hashes that all members must compute alike.
+	// Version seeds the hashes that all members must compute identically.
 	Version uint64
-	// Seed of this member's own tie-breaks.
+	// Seed is the seed of this member's tie-breaks.
 	Seed   uint64
 	Chunks int
-	// ChunkTime is how long a chunk takes on this VM's link; 0: not known.
+	// ChunkTime is how long a chunk takes on this VM's link; 0 means unknown.
 	ChunkTime time.Duration
 	// Held are the chunks held already.
 	Held []int
-	// HasStore says that a weight store can be asked besides the origin.
+	// HasStore is true if chunks can be fetched from a weight store too.
 	HasStore bool
-	Config   Config // with defaults filled
+	Config   Config // after WithDefaults
 }
 
-// State is what one member knows of one model version.
+// State is one member's view of the swarm of one model version.
 type State struct {
 	self      Peer
 	strategy  Strategy
@@ -139,11 +144,12 @@
 
 	n       int
 	held    Bits
-	pending Bits // requested and not ended
+	pending Bits // requested, outcome not known yet
 	seen    Bits // held by some member, as far as known
 	// copies counts the connected peers that hold a chunk.
 	copies []int
-	// absent is when a chunk's last known holder vanished, or the start.
+	// absent is since when no connected peer holds a chunk: when the last
+	// holder was lost, when the chunk was first seen, or the first event.
 	absent []time.Time
 
 	members []Peer
@@ -152,34 +158,33 @@
 	// wanted of them are peers.
 	candidates []Peer
 	wanted     int
-	base       int // how many of them are wanted when all deliver
+	base       int // value of wanted while all peers are healthy
 	requests   map[uint64]*request
-	order      []*request // by start
+	order      []*request // in order of start
 	nextID     uint64
-	usual      time.Duration // smoothed duration of a peer's request
+	average    time.Duration // moving average of the duration of a request to a peer
 
-	feed   feeding
-	source source
-	gained time.Time // when the last chunk came
-	begun  time.Time // when the first event came
+	assignment assignment
+	source     source
+	gained     time.Time // when the last chunk was verified
+	started    time.Time // time of the first Step
 }
 
 type peer struct {
 	Peer
-	up    bool
-	holds Bits
+	connected bool
+	holds     Bits
 	// queue is the peer's upload queue as last reported.
-	queue    int
-	asked    int // requests in flight
-	strikes  int
-	good     int // verified chunks since the last strike
-	stalls   int
-	notAsked time.Time // not before this time
-	busy     time.Time // queue full; not before this time unless it shrinks
-	// doubted is since when the peer has not been connected, has brought
-	// nothing that it was asked for, or has been set aside; zero if it is
-	// trusted.
-	doubted time.Time
+	queue     int
+	inFlight  int // requests in flight
+	strikes   int
+	verified  int // verified chunks since a strike was last added or cancelled
+	failures  int
+	notBefore time.Time // no request before this time
+	busy      time.Time // queue full; no request before this time unless it shrinks
+	// unhealthy is since when the peer has been disconnected, has delivered
+	// nothing that was requested, or has been ejected; zero if it is healthy.
+	unhealthy time.Time
 }
 
 type request struct {
@@ -190,7 +195,7 @@
 	progress time.Time
 }
 
-// New returns the state of a member that knows no other.
+// New returns the state of a member that knows no other members.
 func New(p Params) *State {
 	s := &State{
 		self:      p.Self,
@@ -215,7 +220,7 @@
 	return s
 }
 
-// Complete says whether every chunk is held.
+// Complete reports whether every chunk is held.
 func (s *State) Complete() bool { return s.held.Count() == s.n }
 
 // Held returns the number of chunks held.
--- a/internal/weights/swarm/topology.go
+++ b/internal/weights/swarm/topology.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// A member's peers are its two neighbours on each of several rings, every
-	// ring ordered by another hash: all members agree on the rings, each has
-	// as many peers as the others, and a join or a leave moves only two links
-	// per ring.
+	// A member's peers are its two neighbours on each of several rings, each
+	// ordered by a different hash. All members agree on the rings, all have
+	// the same number of peers, and a join or a leave moves only two links per
+	// ring.
 	zoneRings   = 4
 	globalRings = 2
 
-	// Substitutes stand up to this far away on the rings.
+	// substituteDistance is the maximum distance of substitutes on the rings.
 	substituteDistance = 4
 
 	treeFanOut = 2
 )
 
-// hash mixes strings and a number into 64 well spread bits.
+// hash returns a well distributed 64-bit hash of a string and a seed.
 func hash(seed uint64, text string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(text))
@@ -58,8 +58,8 @@
 	return sorted
 }
 
-// neighbours returns whom self fetches from, at first count of the list, the
-// others as substitutes for peers that do not deliver.
+// neighbours returns the members that self fetches from: the first count of the
+// list from the start, the others as substitutes for unhealthy peers.
 func neighbours(strategy Strategy, self Peer, members []Peer, version uint64) (list []Peer, count int) {
 	switch strategy {
 	case StrategyOrigin:
@@ -93,9 +93,9 @@
 	return []Peer{order[(at-1)/fanOut]}
 }
 
-// ringNeighbours returns self's neighbours on the rings, at distance 1, which
-// are the count to begin with, and then at growing distance. In a small swarm
-// all members are neighbours.
+// ringNeighbours returns self's neighbours on the rings in order of distance.
+// The first count of them are at distance 1. In a small swarm all members are
+// neighbours.
 func ringNeighbours(self Peer, members []Peer, version uint64) (list []Peer, count int) {
 	chosen := map[string]bool{self.VM: true}
 	add := func(p Peer) {
@@ -140,9 +140,9 @@
 	add(order[((at-distance)%len(order)+len(order))%len(order)])
 }
 
-// feeders returns the members that fetch from the origin, first the ones that
-// do so unless they fail.
-func feeders(strategy Strategy, self Peer, members []Peer, version uint64) (order []Peer, count int) {
+// originFetchers returns the members that may fetch from the origin. The first
+// count of them are the designated fetchers, the others their substitutes.
+func originFetchers(strategy Strategy, self Peer, members []Peer, version uint64) (order []Peer, count int) {
 	switch strategy {
 	case StrategyOrigin:
 		return []Peer{self}, 1
@@ -155,17 +155,17 @@
 	}
 }
 
-// Neighbours returns whom self fetches from: a bounded set, of its own zone
-// first, that all members can work out alike.
+// Neighbours returns the members that self fetches from: a bounded set, members
+// of its own zone first, which all members compute identically.
 func Neighbours(strategy Strategy, self Peer, members []Peer, version uint64) []Peer {
 	list, count := neighbours(strategy, self, withSelf(self, members), version)
 	return list[:count]
 }
 
-// OriginRank returns self's place in the order of those that fetch from the
+// OriginRank returns self's rank in the order in which members fetch from the
 // origin.
 func OriginRank(strategy Strategy, self Peer, members []Peer, version uint64) int {
-	order, _ := feeders(strategy, self, withSelf(self, members), version)
+	order, _ := originFetchers(strategy, self, withSelf(self, members), version)
 	return slices.IndexFunc(order, func(p Peer) bool { return p.VM == self.VM })
 }
 
