--- a/internal/weights/transfer/act.go
+++ b/internal/weights/transfer/act.go
@@ -12,8 +12,8 @@
 	"lynxgate.dev/lynxgate/internal/weights/swarm"
 )
 
-// memoryRetry is after how long a chunk is asked for again for which there was no memory:
-// a write of a chunk that holds its buffer takes some milliseconds on a sound disk.
+// memoryRetry is the delay before a request that found no free memory is retried: the
+// write that holds a buffer takes some milliseconds on a healthy disk.
 const memoryRetry = 20 * time.Millisecond
 
 // act carries out one action of the scheduler.
@@ -33,25 +33,25 @@
 	case swarm.Seen:
 		v.hub.addSeen(a.Indexes)
 	case swarm.SetAside:
-		v.manager.metrics.aside.Inc()
-		log.Warn().Str("version", v.ref.Ref()).Str("vm", a.VM).Dur("for", a.For).Msg("peer set aside for wrong answers")
+		v.manager.metrics.ejected.Inc()
+		log.Warn().Str("version", v.ref.Ref()).Str("vm", a.VM).Dur("for", a.For).Msg("peer ejected for wrong answers")
 	case swarm.Stalled:
 		v.manager.metrics.stalled.Inc()
 	}
 }
 
-// connect brings up a link to a peer, unless there is one.
+// connect starts a link to a peer, unless there is one.
 func (v *version) connect(p swarm.Peer) {
 	if v.links[p.VM] != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(v.ctx)
 	l := &link{manager: v.manager, peer: p, id: v.id, stop: cancel, downloads: map[uint64]*download{}}
-	l.haves = func(u *rpc.HaveUpdate) { v.post(func() { v.onHaves(l, u) }) }
-	l.queue = func(n int) {
+	l.onUpdate = func(u *rpc.HaveUpdate) { v.post(func() { v.onHaves(l, u) }) }
+	l.onQueue = func(n int) {
 		v.post(func() { v.step(swarm.PeerQueue{VM: p.VM, Queue: n}) })
 	}
-	l.lost = func() { v.post(func() { v.onLost(l) }) }
+	l.onLost = func() { v.post(func() { v.onLost(l) }) }
 	v.links[p.VM] = l
 	v.running.Add(1)
 	go func() {
@@ -64,23 +64,24 @@
 	if l := v.links[vm]; l != nil {
 		l.stop()
 		delete(v.links, vm)
-		delete(v.haves, vm)
+		delete(v.earlyHaves, vm)
 	}
 }
 
-// onHaves takes a peer's update; before the manifest is known it is kept.
+// onHaves handles a peer's update. Before the manifest is known, updates are
+// buffered.
 func (v *version) onHaves(l *link, u *rpc.HaveUpdate) {
 	if v.links[l.peer.VM] != l {
-		return // of a link that has been given up
+		return // of a link that was closed
 	}
 	if v.state != nil {
 		v.step(peerHavesEvent(l.peer.VM, u, v.files.Manifest().Len()))
 		return
 	}
-	h := v.haves[l.peer.VM]
+	h := v.earlyHaves[l.peer.VM]
 	if h == nil || u.GetReset_() {
 		h = &peerHaves{}
-		v.haves[l.peer.VM] = h
+		v.earlyHaves[l.peer.VM] = h
 	}
 	h.updates = append(h.updates, u)
 }
@@ -96,25 +97,25 @@
 	return ev
 }
 
-// replayHaves gives the scheduler what peers told before there was one.
+// replayHaves passes the buffered updates of peers to the scheduler.
 func (v *version) replayHaves(chunks int) {
-	for vm, h := range v.haves {
+	for vm, h := range v.earlyHaves {
 		for _, u := range h.updates {
 			v.step(peerHavesEvent(vm, u, chunks))
 		}
 	}
-	v.haves = map[string]*peerHaves{}
+	v.earlyHaves = map[string]*peerHaves{}
 }
 
 func (v *version) onLost(l *link) {
 	if v.links[l.peer.VM] != l {
 		return
 	}
-	delete(v.haves, l.peer.VM)
+	delete(v.earlyHaves, l.peer.VM)
 	v.step(swarm.PeerLost{VM: l.peer.VM})
 }
 
-// request asks a peer for a chunk.
+// request requests a chunk from a peer.
 func (v *version) request(a swarm.Request) {
 	l := v.links[a.VM]
 	if l == nil {
@@ -125,17 +126,17 @@
 	length := m.ChunkLen(a.Index)
 	memory := v.manager.memoryFor(length)
 	if !v.manager.memory.TryAcquire(memory) {
-		// Fetches that were given up still use their buffers.
+		// Cancelled fetches may still use their buffers.
 		v.step(swarm.Ended{ID: a.ID, Outcome: swarm.Busy, RetryAfter: memoryRetry})
 		return
 	}
 	d := &download{
-		id:       a.ID,
-		digest:   m.Chunks[a.Index],
-		buf:      v.manager.chunks.get(length)[:0],
-		limit:    length,
-		held:     uint32(1000 * v.state.Held() / m.Len()),
-		progress: func() { v.post(func() { v.step(swarm.Progress{ID: a.ID}) }) },
+		id:            a.ID,
+		digest:        m.Chunks[a.Index],
+		buf:           v.manager.chunks.get(length)[:0],
+		limit:         length,
+		progressMilli: uint32(1000 * v.state.Held() / m.Len()),
+		progress:      func() { v.post(func() { v.step(swarm.Progress{ID: a.ID}) }) },
 	}
 	d.release = func() {
 		v.manager.chunks.put(d.buf)
@@ -147,9 +148,9 @@
 			v.postEnded(files, a.ID, outcome, retry)
 			return
 		}
-		v.keep(files, a, d.buf, false)
+		v.storeChunk(files, a, d.buf, false)
 	}
-	if l.ask(d) != nil {
+	if l.request(d) != nil {
 		d.release()
 		v.step(swarm.Ended{ID: a.ID, Outcome: swarm.Failed})
 		return
@@ -157,7 +158,7 @@
 	v.fetches[a.ID] = func() { l.cancel(a.ID) }
 }
 
-// fetch asks the origin or the weight store for a chunk.
+// fetch requests a chunk from the origin or the weight store.
 func (v *version) fetch(a swarm.Fetch) {
 	ctx, cancel := context.WithCancel(v.ctx)
 	v.fetches[a.ID] = cancel
@@ -173,7 +174,7 @@
 		length := m.ChunkLen(a.Index)
 		memory := v.manager.memoryFor(length)
 		if err := v.manager.memory.Acquire(ctx, memory); err != nil {
-			v.postEnded(files, a.ID, swarm.Dropped, 0) // given up before it began
+			v.postEnded(files, a.ID, swarm.Dropped, 0) // cancelled while it waited for memory
 			return
 		}
 		defer v.manager.memory.Release(memory)
@@ -185,7 +186,7 @@
 			v.fetchFailed(files, a.ID, err)
 			return
 		}
-		v.keep(files, swarm.Request{ID: a.ID, Index: a.Index}, buf, true)
+		v.storeChunk(files, swarm.Request{ID: a.ID, Index: a.Index}, buf, true)
 	}()
 }
 
@@ -199,8 +200,8 @@
 	v.postEnded(files, id, swarm.Failed, 0)
 }
 
-// keep verifies and stores a chunk, on the goroutine that received it.
-func (v *version) keep(files *store.Version, a swarm.Request, data []byte, fromOrigin bool) {
+// storeChunk verifies and stores a chunk, on the goroutine that received it.
+func (v *version) storeChunk(files *store.Version, a swarm.Request, data []byte, fromOrigin bool) {
 	err := files.WriteChunk(a.Index, data)
 	if errors.Is(err, store.ErrChunkDigest) {
 		v.manager.metrics.corrupt.Inc()
@@ -210,22 +211,22 @@
 	if err != nil {
 		v.post(func() {
 			if v.files == files {
-				v.fault = err
+				v.failure = err
 			}
 		})
 		v.postEnded(files, a.ID, swarm.Dropped, 0)
 		return
 	}
 	length := int64(len(data))
-	v.post(func() { v.kept(files, a, length, fromOrigin) })
+	v.post(func() { v.chunkStored(files, a, length, fromOrigin) })
 }
 
-func (v *version) kept(files *store.Version, a swarm.Request, length int64, fromOrigin bool) {
+func (v *version) chunkStored(files *store.Version, a swarm.Request, length int64, fromOrigin bool) {
 	if v.files != files {
-		return // of an attempt that has been given up
+		return // of an earlier attempt
 	}
 	v.hub.addHeld(a.Index)
-	v.endFetch(a.ID, swarm.Verified, 0)
+	v.requestEnded(a.ID, swarm.Verified, 0)
 	v.update(func(p *Progress) {
 		p.Held = files.Count()
 		if fromOrigin {
@@ -236,16 +237,17 @@
 	})
 }
 
-// postEnded tells the loop how a request of the attempt with files ended.
+// postEnded passes the outcome of a request to the loop, which ignores it unless
+// files is of the present attempt.
 func (v *version) postEnded(files *store.Version, id uint64, outcome swarm.Outcome, retry time.Duration) {
 	v.post(func() {
 		if v.files == files {
-			v.endFetch(id, outcome, retry)
+			v.requestEnded(id, outcome, retry)
 		}
 	})
 }
 
-func (v *version) endFetch(id uint64, outcome swarm.Outcome, retry time.Duration) {
+func (v *version) requestEnded(id uint64, outcome swarm.Outcome, retry time.Duration) {
 	delete(v.fetches, id)
 	v.step(swarm.Ended{ID: id, Outcome: outcome, RetryAfter: retry})
 }
@@ -257,10 +259,10 @@
 	}
 }
 
-// peersToAsk returns the peers that are known to have the manifest.
-func (v *version) peersToAsk() []*link {
+// peersWithManifest returns the peers that are known to have the manifest.
+func (v *version) peersWithManifest() []*link {
 	var list []*link
-	for vm, h := range v.haves {
+	for vm, h := range v.earlyHaves {
 		if l := v.links[vm]; l != nil && len(h.updates) > 0 && len(h.updates[0].GetBitmap()) > 0 {
 			list = append(list, l)
 		}
@@ -268,5 +270,5 @@
 	return list
 }
 
-// verifiedManifest says whether data is the manifest that is wanted.
+// verifiedManifest reports whether data has the digest of the wanted manifest.
 func (v *version) verifiedManifest(data []byte) bool { return manifest.Sum(data) == v.id }
--- a/internal/weights/transfer/bootstrap.go
+++ b/internal/weights/transfer/bootstrap.go
@@ -11,39 +11,43 @@
 )
 
 const (
-	// manifestFetchers ask the origin for the manifest at once; the others
-	// take it from peers, and ask the origin one after another when that
-	// takes too long.
+	// The first manifestFetchers members in origin order fetch the manifest
+	// from the origin at once. The others request it from peers, and fetch it
+	// from the origin too after manifestStagger for each manifestFetchers
+	// members ahead of them.
 	manifestFetchers = 4
-	manifestDeadline = time.Second
-	manifestPatience = time.Second
-	// manifestID is the request id of a manifest; chunk requests begin at 1.
+	manifestStagger  = time.Second
+	manifestTimeout  = time.Second
+	// manifestID is the request id of a manifest; ids of chunk requests start
+	// at 1.
 	manifestID = 0
 )
 
-// bootstrap is the search for the manifest. It is owned by the loop.
-type bootstrap struct {
+// manifestSearch is the state of the search for the manifest. It is owned by the
+// loop.
+type manifestSearch struct {
 	encoded []byte
-	// asked is the peer being asked, nil if none, since when.
-	asked *link
+	// peer is the peer that the manifest was requested from, nil if none;
+	// since is when it last made progress.
+	peer  *link
 	since time.Time
-	// origin is true while the origin or the store is being asked.
-	origin   bool
-	fails    int
-	notAsked time.Time
-	tried    map[string]time.Time
+	// origin is true during a fetch from the origin or the store.
+	origin    bool
+	failures  int
+	notBefore time.Time
+	tried     map[string]time.Time
 }
 
-// obtainManifest gets the manifest from the scratch folder, a peer or the
-// origin, whichever has it first.
+// obtainManifest returns the manifest from the scratch folder, a peer or the
+// origin, whichever supplies it first.
 func (v *version) obtainManifest() ([]byte, error) {
 	if m, ok := v.manager.store.Manifest(v.id); ok {
 		return m.Encode()
 	}
-	for _, p := range swarm.Neighbours(v.manager.cfg.Strategy, v.self, v.now.Peers, VersionSeed(v.id)) {
+	for _, p := range swarm.Neighbours(v.manager.cfg.Strategy, v.self, v.current.Peers, VersionSeed(v.id)) {
 		v.connect(p)
 	}
-	b := &bootstrap{tried: map[string]time.Time{}}
+	b := &manifestSearch{tried: map[string]time.Time{}}
 	began := v.manager.cfg.Now()
 	ticker := time.NewTicker(swarm.TickInterval)
 	defer ticker.Stop()
@@ -53,7 +57,7 @@
 		case f := <-v.posted:
 			f()
 		case w := <-v.wanted:
-			v.now = w
+			v.current = w
 			for _, p := range swarm.Neighbours(v.manager.cfg.Strategy, v.self, w.Peers, VersionSeed(v.id)) {
 				v.connect(p)
 			}
@@ -65,29 +69,29 @@
 	return b.encoded, nil
 }
 
-// searchManifest asks whoever may be asked now.
-func (v *version) searchManifest(b *bootstrap, began time.Time) {
+// searchManifest starts the requests for the manifest that are due now.
+func (v *version) searchManifest(b *manifestSearch, began time.Time) {
 	now := v.manager.cfg.Now()
-	if b.asked != nil && now.Sub(b.since) > manifestPatience {
-		b.asked.cancel(manifestID)
-		b.asked = nil
+	if b.peer != nil && now.Sub(b.since) > manifestTimeout {
+		b.peer.cancel(manifestID)
+		b.peer = nil
 	}
-	if b.asked == nil {
-		v.askPeerForManifest(b, now)
+	if b.peer == nil {
+		v.requestManifest(b, now)
 	}
-	rank := swarm.OriginRank(v.manager.cfg.Strategy, v.self, v.now.Peers, VersionSeed(v.id))
-	turn := began.Add(time.Duration(rank/manifestFetchers) * manifestDeadline)
-	if !b.origin && !now.Before(turn) && !now.Before(b.notAsked) {
-		v.askOriginForManifest(b)
+	rank := swarm.OriginRank(v.manager.cfg.Strategy, v.self, v.current.Peers, VersionSeed(v.id))
+	originTime := began.Add(time.Duration(rank/manifestFetchers) * manifestStagger)
+	if !b.origin && !now.Before(originTime) && !now.Before(b.notBefore) {
+		v.fetchManifest(b)
 	}
 }
 
-func (v *version) askPeerForManifest(b *bootstrap, now time.Time) {
-	for _, l := range v.peersToAsk() {
-		if now.Sub(b.tried[l.peer.VM]) < manifestPatience {
+func (v *version) requestManifest(b *manifestSearch, now time.Time) {
+	for _, l := range v.peersWithManifest() {
+		if now.Sub(b.tried[l.peer.VM]) < manifestTimeout {
 			continue
 		}
-		b.asked, b.since = l, now
+		b.peer, b.since = l, now
 		b.tried[l.peer.VM] = now
 		d := &download{
 			release: func() {},
@@ -96,28 +100,28 @@
 		}
 		d.done = func(outcome swarm.Outcome, _ time.Duration) {
 			v.post(func() {
-				if b.asked == l {
-					b.asked = nil
+				if b.peer == l {
+					b.peer = nil
 				}
 				if outcome == swarm.Verified && v.verifiedManifest(d.buf) {
 					b.encoded = d.buf
 				}
 			})
 		}
-		if l.ask(d) != nil {
-			b.asked = nil
+		if l.request(d) != nil {
+			b.peer = nil
 		}
 		return
 	}
 }
 
-func (v *version) askOriginForManifest(b *bootstrap) {
+func (v *version) fetchManifest(b *manifestSearch) {
 	base := v.ref.Origin
-	if b.fails%2 == 1 && v.ref.Store != "" {
+	if b.failures%2 == 1 && v.ref.Store != "" {
 		base = v.ref.Store
 	}
 	b.origin = true
-	ctx, cancel := context.WithTimeout(v.ctx, 10*manifestPatience)
+	ctx, cancel := context.WithTimeout(v.ctx, 10*manifestTimeout)
 	v.running.Add(1)
 	go func() {
 		defer v.running.Done()
@@ -127,7 +131,7 @@
 	}()
 }
 
-func (v *version) manifestFetched(b *bootstrap, data []byte, err error) {
+func (v *version) manifestFetched(b *manifestSearch, data []byte, err error) {
 	b.origin = false
 	if err == nil && v.verifiedManifest(data) {
 		b.encoded = data
@@ -137,12 +141,12 @@
 		err = manifest.ErrDigest
 	}
 	now := v.manager.cfg.Now()
-	pause := min(retryMax, retryFirst<<min(b.fails, 10))
+	pause := min(retryMax, retryFirst<<min(b.failures, 10))
 	var limited *origin.Limited
 	if errors.As(err, &limited) {
 		pause = max(pause, limited.RetryAfter)
 	}
-	b.fails++
-	b.notAsked = now.Add(pause)
+	b.failures++
+	b.notBefore = now.Add(pause)
 	v.update(func(p *Progress) { p.Err = err.Error() })
 }
--- a/internal/weights/transfer/harness_test.go
+++ b/internal/weights/transfer/harness_test.go
@@ -31,7 +31,8 @@
 	patience   = 30 * time.Second
 )
 
-// weightsOf returns seeded content of whole test chunks.
+// weightsOf returns pseudo-random weights of the given number of chunks, the last
+// of them shorter.
 func weightsOf(seed uint64, chunks int) []byte {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	data := make([]byte, chunks*testChunk-100)
@@ -46,7 +47,7 @@
 	*httptest.Server
 	files map[string][]byte // by path
 	sent  atomic.Int64      // bytes of weights
-	// refuse, if set, may answer a request instead.
+	// refuse, if set, handles a request itself if it returns true.
 	refuse atomic.Pointer[func(w http.ResponseWriter, r *http.Request) bool]
 }
 
@@ -114,7 +115,7 @@
 // nodeOptions change one node of a test.
 type nodeOptions struct {
 	config func(*Config)
-	// serve wraps what the node answers to its peers.
+	// serve wraps the server that answers the node's peers.
 	serve func(rpc.DRPCWeightsServer) rpc.DRPCWeightsServer
 }
 
--- a/internal/weights/transfer/hub.go
+++ b/internal/weights/transfer/hub.go
@@ -7,9 +7,9 @@
 	"lynxgate.dev/lynxgate/internal/weights/swarm"
 )
 
-// hub tells subscribers which chunks of one version this VM holds and which it
-// has seen anywhere. Changes form a log, of which each subscriber remembers
-// how far it has read; a new generation makes all begin again.
+// hub publishes which chunks of one version this VM holds and which it has seen
+// on any member. Changes form a log, and each subscriber has a cursor into it.
+// A new generation makes all subscribers start again with a full update.
 type hub struct {
 	mu         sync.Mutex
 	chunks     int // 0: the manifest is not known here
@@ -22,10 +22,10 @@
 
 type change struct {
 	index uint32
-	seen  bool // not held here, only seen
+	seen  bool // seen on a member, not held here
 }
 
-// cursor is how far a subscriber has read.
+// cursor is a subscriber's position in the log.
 type cursor struct {
 	generation int
 	position   int
@@ -33,8 +33,7 @@
 
 func newHub() *hub { return &hub{changed: make(chan struct{})} }
 
-// reset begins a new generation; chunks is 0 when the version is no longer
-// held.
+// reset starts a new generation. chunks is 0 when the version is no longer held.
 func (h *hub) reset(chunks int, held []int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -80,8 +79,8 @@
 	h.changed = make(chan struct{})
 }
 
-// next returns what has changed since the cursor, or nil and a channel that
-// is closed at the next change.
+// next returns the changes since the cursor and advances it, or returns nil and
+// a channel that is closed at the next change.
 func (h *hub) next(at *cursor) (*rpc.HaveUpdate, <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -108,8 +107,9 @@
 	return update, nil
 }
 
-// few says whether little has been added since the cursor for what was told.
-func (h *hub) few(at *cursor) bool {
+// fewChanges reports whether the changes since the cursor are fewChanges in proportion
+// to those already sent.
+func (h *hub) fewChanges(at *cursor) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.generation == at.generation && (len(h.log)-at.position)*fewShare < at.position
--- a/internal/weights/transfer/link.go
+++ b/internal/weights/transfer/link.go
@@ -19,16 +19,17 @@
 )
 
 const (
-	// redialFirst is the pause after a connection was lost or not made. It doubles each
-	// time up to redialMax, and starts anew after a connection that held for longer.
+	// redialFirst is the delay after a connection was lost or failed. It doubles each
+	// time up to redialMax, and is reset after a connection that lasted longer.
 	redialFirst = 100 * time.Millisecond
 	redialMax   = 5 * time.Second
 	// maxMessage bounds one message from a peer, in bytes: a piece, or a
-	// whole bitmap.
+	// complete bitmap.
 	maxMessage = 1 << 20
 	// requestBuffer is how many requests may wait to be written to a peer.
 	requestBuffer = 64
-	// progressEvery is how often a download's progress is told at most.
+	// progressEvery is the minimum interval between two reports of a download's
+	// progress.
 	progressEvery = 50 * time.Millisecond
 )
 
@@ -40,16 +41,16 @@
 type download struct {
 	id     uint64
 	digest manifest.Digest
-	// buf takes the content; it grows up to limit bytes.
-	buf      []byte
-	limit    int
-	held     uint32 // thousandths of the version held here
-	progress func()
-	told     time.Time // when progress was last told
+	// buf receives the content; it grows up to limit bytes.
+	buf           []byte
+	limit         int
+	progressMilli uint32 // thousandths of the version held here
+	progress      func()
+	reported      time.Time // when progress was last called
 	// done is called once, from the link's goroutine, unless the request is cancelled. It
-	// releases the buffer.
+	// calls release.
 	done func(swarm.Outcome, time.Duration)
-	// release gives the buffer back.
+	// release returns the buffer and its share of the memory bound.
 	release func()
 }
 
@@ -60,25 +61,26 @@
 	manager *Manager
 	peer    Peer
 	id      manifest.Digest
-	// haves is called for each update, lost when the peer goes away.
-	haves func(*rpc.HaveUpdate)
-	queue func(int)
-	lost  func()
-	stop  context.CancelFunc
+	// onUpdate is called for each update, onQueue when the length of the peer's
+	// upload queue changes, onLost when a connection fails or closes.
+	onUpdate func(*rpc.HaveUpdate)
+	onQueue  func(int)
+	onLost   func()
+	stop     context.CancelFunc
 
 	mu        sync.Mutex
 	downloads map[uint64]*download
 	requests  chan *rpc.ChunkRequest // nil while not connected
 }
 
-// run keeps the link up until ctx is done.
+// run connects, and reconnects after failures, until ctx is done.
 func (l *link) run(ctx context.Context) {
 	pause := redialFirst
 	for ctx.Err() == nil {
 		began := time.Now()
 		_ = l.connect(ctx)
-		l.fail()
-		l.lost()
+		l.failAll()
+		l.onLost()
 		if time.Since(began) > redialMax {
 			pause = redialFirst
 		}
@@ -137,7 +139,7 @@
 			return err
 		}
 		l.manager.metrics.controlReceived(proto.Size(update))
-		l.haves(update)
+		l.onUpdate(update)
 	}
 }
 
@@ -151,7 +153,7 @@
 	l.requests = requests
 	l.mu.Unlock()
 	go l.writeRequests(ctx, stream, requests)
-	told := 0
+	lastQueue := 0
 	piece := &rpc.ChunkPiece{}
 	for {
 		if err := stream.MsgRecv(piece, pieceEncoding{}); err != nil {
@@ -160,11 +162,11 @@
 		if err := l.manager.link.Down(ctx, pace.Transfer, len(piece.GetData())); err != nil {
 			return err
 		}
-		if n := int(piece.GetQueue()); piece.GetLast() && n != told {
-			told = n
-			l.queue(n)
+		if n := int(piece.GetQueue()); piece.GetLast() && n != lastQueue {
+			lastQueue = n
+			l.onQueue(n)
 		}
-		l.take(piece)
+		l.receive(piece)
 	}
 }
 
@@ -174,7 +176,7 @@
 		case req := <-requests:
 			l.manager.metrics.controlSent(proto.Size(req))
 			if stream.Send(req) != nil {
-				return // readChunks ends as well
+				return // readChunks fails too
 			}
 		case <-ctx.Done():
 			return
@@ -182,19 +184,19 @@
 	}
 }
 
-// ask queues a request; the outcome comes through d.done unless an error is
-// returned.
-func (l *link) ask(d *download) error {
+// request queues a request. Unless it returns an error, the outcome is passed to
+// d.done.
+func (l *link) request(d *download) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.enqueue(&rpc.ChunkRequest{Id: d.id, Digest: d.digest[:], Progress: d.held}); err != nil {
+	if err := l.enqueue(&rpc.ChunkRequest{Id: d.id, Digest: d.digest[:], Progress: d.progressMilli}); err != nil {
 		return err
 	}
 	l.downloads[d.id] = d
 	return nil
 }
 
-// enqueue hands a request to the writer. The lock is held.
+// enqueue passes a request to the writer. The caller holds the lock.
 func (l *link) enqueue(req *rpc.ChunkRequest) error {
 	select {
 	case l.requests <- req:
@@ -204,7 +206,7 @@
 	}
 }
 
-// cancel withdraws a request; its outcome is no longer told.
+// cancel cancels a request; d.done is not called any more.
 func (l *link) cancel(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -215,40 +217,41 @@
 	}
 }
 
-// take adds a piece to the download it belongs to.
-func (l *link) take(piece *rpc.ChunkPiece) {
+// receive adds a piece to its download.
+func (l *link) receive(piece *rpc.ChunkPiece) {
 	l.mu.Lock()
 	d := l.downloads[piece.GetId()]
 	if d == nil {
 		l.mu.Unlock()
-		return // cancelled meanwhile
+		return // cancelled
 	}
 	data := piece.GetData()
 	tooLong := len(d.buf)+len(data) > d.limit
 	if !tooLong {
-		d.buf = append(d.buf, data...) // under the lock: a cancel gives the buffer back
+		d.buf = append(d.buf, data...) // under the lock: cancel releases the buffer
 	}
 	l.mu.Unlock()
 	l.manager.metrics.fromPeers.Add(float64(len(data)))
 	switch {
 	case piece.GetNotHeld():
-		l.end(d, swarm.NotHeld, 0)
+		l.finish(d, swarm.NotHeld, 0)
 	case piece.GetBusyRetryMs() > 0:
-		l.end(d, swarm.Busy, time.Duration(piece.GetBusyRetryMs())*time.Millisecond)
+		l.finish(d, swarm.Busy, time.Duration(piece.GetBusyRetryMs())*time.Millisecond)
 	case tooLong:
-		l.end(d, swarm.Corrupt, 0)
+		l.finish(d, swarm.Corrupt, 0)
 	case piece.GetLast():
-		l.end(d, swarm.Verified, 0)
+		l.finish(d, swarm.Verified, 0)
 	default:
-		if now := time.Now(); now.Sub(d.told) > progressEvery {
-			d.told = now
+		if now := time.Now(); now.Sub(d.reported) > progressEvery {
+			d.reported = now
 			d.progress()
 		}
 	}
 }
 
-// end removes a download and tells how it ended; the caller verifies content.
-func (l *link) end(d *download, outcome swarm.Outcome, retry time.Duration) {
+// finish removes a download and reports its outcome. The content is not verified
+// yet: d.done does that.
+func (l *link) finish(d *download, outcome swarm.Outcome, retry time.Duration) {
 	l.mu.Lock()
 	_, ok := l.downloads[d.id]
 	delete(l.downloads, d.id)
@@ -258,8 +261,8 @@
 	}
 }
 
-// fail ends all downloads after the connection has ended.
-func (l *link) fail() {
+// failAll fails all downloads after the connection has closed.
+func (l *link) failAll() {
 	l.mu.Lock()
 	l.requests = nil
 	failed := l.downloads
--- a/internal/weights/transfer/manager.go
+++ b/internal/weights/transfer/manager.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// maxHubs bounds the versions that peers may ask about.
+	// maxHubs bounds the number of versions that peers may subscribe to.
 	maxHubs = 1024
-	// linkTick is how often the link's governor may let the share rise.
+	// linkTick is how often the link's governor may raise the transfers' share.
 	linkTick = time.Second
 )
 
@@ -34,10 +34,10 @@
 	origin  *origin.Client
 	uploads *uploads
 	metrics *metrics
-	// memory is what Config.MemoryBytes leaves for chunk buffers, in bytes: a fetch that
-	// is given up keeps its part until nobody uses its buffer any more.
+	// memory bounds the chunk buffers in use to Config.MemoryBytes. A cancelled fetch
+	// keeps its share until its buffer is no longer used.
 	memory *semaphore.Weighted
-	// chunks and pieces recycle the buffers of downloads and uploads.
+	// chunks and pieces pool the buffers of downloads and uploads.
 	chunks  buffers
 	pieces  buffers
 	changed chan struct{}
@@ -134,18 +134,18 @@
 	}
 }
 
-// SetWanted replaces the set of wanted versions. Versions no longer wanted
-// stop; their files stay until the room is needed.
+// SetWanted replaces the set of wanted versions. Versions no longer wanted are
+// stopped; their files stay until the disk space is needed.
 func (m *Manager) SetWanted(wanted []Wanted) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.ctx.Err() != nil {
 		return
 	}
-	named := map[string]bool{}
+	stillWanted := map[string]bool{}
 	for _, w := range wanted {
 		key := w.Ref.Ref()
-		named[key] = true
+		stillWanted[key] = true
 		current := m.versions[key]
 		if current != nil && current.ref == w.Ref {
 			current.setWanted(w)
@@ -157,7 +157,7 @@
 		m.versions[key] = m.start(w, current)
 	}
 	for key, v := range m.versions {
-		if !named[key] {
+		if !stillWanted[key] {
 			m.stop(v)
 			delete(m.versions, key)
 		}
@@ -165,14 +165,14 @@
 	m.signal()
 }
 
-// stop ends a version's loop without waiting for it. The lock is held.
+// stop stops a version's loop without waiting for it. The caller holds the lock.
 func (m *Manager) stop(v *version) {
 	v.cancel()
 	m.stopping[v.id] = v
 }
 
-// start begins a version's loop, after an earlier loop for the same files has
-// ended. The lock is held.
+// start starts a version's loop, which first waits until earlier loops for the
+// same files have stopped. The caller holds the lock.
 func (m *Manager) start(w Wanted, earlier *version) *version {
 	v := newVersion(m, w)
 	v.hub = m.addHub(v.id)
@@ -193,7 +193,7 @@
 	return v
 }
 
-// forget drops the memory of a version that has stopped.
+// forget removes a version that has stopped from m.stopping.
 func (m *Manager) forget(v *version) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -217,7 +217,8 @@
 	return list
 }
 
-// Changed gets a value after Status has changed; signals are coalesced.
+// Changed returns a channel that receives a value after Status has changed;
+// signals are coalesced.
 func (m *Manager) Changed() <-chan struct{} { return m.changed }
 
 func (m *Manager) signal() {
@@ -227,16 +228,16 @@
 	}
 }
 
-// ObserveLive reports the first-token latency of a live request; transfers
-// give way when it rises.
+// ObserveLive records the first-token latency of a live request. Transfers slow
+// down when it rises.
 func (m *Manager) ObserveLive(firstToken time.Duration) { m.link.ObserveLive(firstToken) }
 
-// SpendLive counts bytes of live requests on the VM's link; transfers make
-// room for them.
+// SpendLive accounts for bytes of live requests on the VM's link, which
+// transfers then leave to them.
 func (m *Manager) SpendLive(up, down int) { m.link.SpendLive(up, down) }
 
-// Link returns the VM's link, on which live traffic may be accounted so that
-// transfers make room for it.
+// Link returns the VM's link, on which callers can account for live traffic so
+// that transfers leave capacity for it.
 func (m *Manager) Link() *pace.Link { return m.link }
 
 // Close stops all transfers and waits for them. The scratch folder stays.
@@ -252,8 +253,8 @@
 	return nil
 }
 
-// hub returns the hub of a version that peers ask about, wanted here or not.
-// Beyond the bound they get one that never tells anything.
+// hub returns the hub of a version that a peer subscribes to, wanted here or not.
+// Beyond maxHubs it returns a new hub that never has any chunks.
 func (m *Manager) hub(id manifest.Digest) *hub {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -266,7 +267,8 @@
 	return m.addHub(id)
 }
 
-// addHub registers a hub. The lock is held.
+// addHub returns the hub of a version and registers it if it is new. The caller
+// holds the lock.
 func (m *Manager) addHub(id manifest.Digest) *hub {
 	h := m.hubs[id]
 	if h == nil {
@@ -276,7 +278,7 @@
 	return h
 }
 
-// content is something a peer may ask for by its digest.
+// content is a manifest or chunk that a peer may request by its digest.
 type content struct {
 	length int
 	read   func(p []byte, offset int) error
@@ -313,12 +315,12 @@
 	m.manifests[id] = encoded
 }
 
-// memoryFor is the part of the memory that the buffer of a chunk takes; a chunk larger
-// than all of it takes all.
+// memoryFor is the share of the memory bound that a chunk's buffer takes. A chunk larger
+// than the bound takes all of it.
 func (m *Manager) memoryFor(length int) int64 { return min(int64(length), m.cfg.MemoryBytes) }
 
 // window returns how many chunks of the given size one version may have in
-// flight, so that all versions together keep to the memory bound.
+// flight so that all versions together stay within the memory bound.
 func (m *Manager) window(chunkSize int64) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/weights/transfer/manager_test.go
+++ b/internal/weights/transfer/manager_test.go
@@ -8,11 +8,11 @@
 	"lynxgate.dev/lynxgate/internal/weights/swarm"
 )
 
-// neverLate is a timeout that does not pass in a test, so that no member is
-// taken for late, however slow the machine is.
+// neverLate is a timeout that does not expire in a test, so that no member
+// becomes late, however slow the machine is.
 const neverLate = 100 * patience
 
-// timely are options of n nodes of which none is taken for late.
+// timely returns options for n nodes of which none becomes late.
 func timely(n int, adjust func(*Config)) map[int]nodeOptions {
 	opts := map[int]nodeOptions{}
 	for i := range n {
@@ -26,7 +26,7 @@
 	return opts
 }
 
-func TestEveryStrategyStagesTheWholeEverywhere(t *testing.T) {
+func TestEveryStrategyStagesOnAllMembers(t *testing.T) {
 	for _, strategy := range []swarm.Strategy{
 		swarm.StrategySwarm, swarm.StrategyOrigin, swarm.StrategyZoneTree, swarm.StrategyChain,
 	} {
--- a/internal/weights/transfer/members_test.go
+++ b/internal/weights/transfer/members_test.go
@@ -16,16 +16,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDesignatedFetcherDead(t *testing.T) {
+// Fails if a member that is down from the start keeps the others from staging.
+// Each member is down once, since each chunk has a different designated fetcher.
+func TestMemberDownFromTheStart(t *testing.T) {
 	for dead := range 3 {
 		origin := newFakeOrigin(t)
 		data := weightsOf(1, 16)
 		ref := origin.publish(t, "v1", data)
 		nodes := startNodes(t, 3, nil)
 		nodes[dead].kill()
-		living := append(append([]*node{}, nodes[:dead]...), nodes[dead+1:]...)
-		want(living, nodes, ref)
-		requireStaged(t, living, "v1", data)
+		live := append(append([]*node{}, nodes[:dead]...), nodes[dead+1:]...)
+		want(live, nodes, ref)
+		requireStaged(t, live, "v1", data)
 	}
 }
 
@@ -50,7 +52,7 @@
 	requireStaged(t, nodes, "v4", weightsOf(4, testChunks))
 }
 
-func TestVersionWithdrawnAndPutBack(t *testing.T) {
+func TestVersionWantedAgainResumes(t *testing.T) {
 	origin := newFakeOrigin(t)
 	data := weightsOf(1, testChunks)
 	ref := origin.publish(t, "v1", data)
@@ -66,7 +68,7 @@
 	nodes := startNodes(t, 3, nil)
 	for range 5 {
 		want(nodes, nodes, ref)
-		want(nodes, nodes) // withdrawn at once
+		want(nodes, nodes) // removed at once
 	}
 	want(nodes, nodes, ref)
 	require.Eventually(t, func() bool { return nodes[0].progressOf("v1").Held >= 5 }, patience, time.Millisecond)
@@ -75,57 +77,58 @@
 	open.Store(true)
 	want(nodes, nodes, ref)
 	requireStaged(t, nodes, "v1", data)
-	require.LessOrEqual(t, origin.sent.Load(), int64(len(data)+8*testChunk), "the burst started over")
+	require.LessOrEqual(t, origin.sent.Load(), int64(len(data)+8*testChunk), "chunks were fetched again after the version was wanted again")
 }
 
-type cutter struct {
+// partition is a network that can be partitioned between zones.
+type partition struct {
 	mu    sync.Mutex
-	cut   bool
+	cut   bool              // true during the partition
 	zones map[string]string // by address; the origin has none
 	conns map[net.Conn]bool // between zones
 }
 
-func (c *cutter) dial(zone string) func(ctx context.Context, addr string) (net.Conn, error) {
+func (p *partition) dial(zone string) func(ctx context.Context, addr string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		if err != nil {
 			return nil, err
 		}
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if c.zones[addr] == zone {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		if p.zones[addr] == zone {
 			return conn, nil
 		}
-		if c.cut {
+		if p.cut {
 			conn.Close()
-			return nil, errors.New("cut off")
+			return nil, errors.New("network partition")
 		}
-		c.conns[conn] = true
+		p.conns[conn] = true
 		return conn, nil
 	}
 }
 
-func (c *cutter) set(cut bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.cut = cut
-	for conn := range c.conns {
+func (p *partition) set(cut bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cut = cut
+	for conn := range p.conns {
 		conn.Close()
 	}
-	clear(c.conns)
+	clear(p.conns)
 }
 
-func TestZoneCutOffHalfWay(t *testing.T) {
+func TestZonePartitionedDuringTransfer(t *testing.T) {
 	origin := newFakeOrigin(t)
 	data := weightsOf(1, testChunks)
 	ref := origin.publish(t, "v1", data)
-	network := &cutter{zones: map[string]string{}, conns: map[net.Conn]bool{}}
+	network := &partition{zones: map[string]string{}, conns: map[net.Conn]bool{}}
 	opts := map[int]nodeOptions{}
 	for i := range 8 {
 		zone := fmt.Sprintf("zone-%d", i%2)
 		opts[i] = nodeOptions{config: func(c *Config) {
 			c.Dial = network.dial(zone)
-			if zone == "zone-1" { // the origin is on zone 0's side
+			if zone == "zone-1" { // the origin is on the side of zone-0
 				c.HTTP = &http.Client{Transport: &http.Transport{
 					DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) { return network.dial(zone)(ctx, addr) },
 				}}
@@ -151,14 +154,14 @@
 		require.False(t, nodes[i].progressOf("v1").Staged)
 	}
 	origin.setRefuse(func(w http.ResponseWriter, r *http.Request) bool {
-		http.NotFound(w, r) // what the zone lacks must come from peers
+		http.NotFound(w, r) // the zone must fetch its missing chunks from peers
 		return true
 	})
 	network.set(false)
 	requireStaged(t, nodes, "v1", data)
 }
 
-func TestPeersLearnedLater(t *testing.T) {
+func TestMembersAddedAfterTheManifest(t *testing.T) {
 	origin := newFakeOrigin(t)
 	data := weightsOf(1, testChunks)
 	ref := origin.publish(t, "v1", data)
@@ -179,7 +182,7 @@
 	requireStaged(t, nodes, "v1", data)
 }
 
-func TestManyJoinInMidBurst(t *testing.T) {
+func TestMembersJoinDuringTransfer(t *testing.T) {
 	origin := newFakeOrigin(t)
 	data := weightsOf(1, testChunks)
 	ref := origin.publish(t, "v1", data)
--- a/internal/weights/transfer/metrics.go
+++ b/internal/weights/transfer/metrics.go
@@ -14,7 +14,7 @@
 	controlOut prometheus.Counter
 	corrupt    prometheus.Counter
 	stalled    prometheus.Counter
-	aside      prometheus.Counter
+	ejected    prometheus.Counter
 	busy       prometheus.Counter
 	limited    prometheus.Counter
 	staged     prometheus.Counter
@@ -34,7 +34,7 @@
 		}, []string{"direction"}),
 		corrupt: counter("corrupt_chunks_total", "Chunks dropped because their digest differed."),
 		stalled: counter("stalled_requests_total", "Chunk requests given up for want of progress."),
-		aside:   counter("peers_set_aside_total", "Peers set aside for repeated wrong answers."),
+		ejected: counter("peers_set_aside_total", "Peers set aside for repeated wrong answers."),
 		busy:    counter("busy_answers_total", "Chunk requests refused because the upload queue was full."),
 		limited: counter("limited_answers_total", "Answers 429 or 503 of the origin or the weight store."),
 		staged:  counter("staged_total", "Model versions staged whole."),
@@ -49,7 +49,7 @@
 		Help: "Part of the link that transfers may use at present.",
 	}, share)
 	for _, c := range []prometheus.Collector{
-		m.fromPeers, m.fromOrigin, m.sent, m.control, m.corrupt, m.stalled, m.aside, m.busy, m.limited, m.staged, gauge,
+		m.fromPeers, m.fromOrigin, m.sent, m.control, m.corrupt, m.stalled, m.ejected, m.busy, m.limited, m.staged, gauge,
 	} {
 		if err := registerer.Register(c); err != nil {
 			return nil, err
--- a/internal/weights/transfer/origin_test.go
+++ b/internal/weights/transfer/origin_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestOriginGoneForAWhile(t *testing.T) {
+func TestTemporaryOriginOutage(t *testing.T) {
 	origin := newFakeOrigin(t)
 	data := weightsOf(1, testChunks)
 	ref := origin.publish(t, "v1", data)
@@ -21,7 +21,7 @@
 			return false
 		}
 		refused.Add(1)
-		panic(http.ErrAbortHandler) // the connection breaks
+		panic(http.ErrAbortHandler) // closes the connection
 	})
 	nodes := startNodes(t, 4, nil)
 	want(nodes, nodes, ref)
@@ -29,7 +29,7 @@
 	require.Positive(t, refused.Load())
 }
 
-func TestStoreStandsInAndItsRateIsKept(t *testing.T) {
+func TestStoreReplacesFailedOriginWithinItsRateLimit(t *testing.T) {
 	origin, weightStore := newFakeOrigin(t), newFakeOrigin(t)
 	data := weightsOf(1, 24)
 	ref := origin.publish(t, "v1", data)
@@ -61,6 +61,6 @@
 	want(nodes, nodes, ref)
 	requireStaged(t, nodes, "v1", data)
 	require.Equal(t, 4, limited)
-	require.LessOrEqual(t, early, 1, "asked again before Retry-After had passed")
+	require.LessOrEqual(t, early, 1, "requests before Retry-After had passed")
 	require.Equal(t, int64(len(data)), weightStore.sent.Load())
 }
--- a/internal/weights/transfer/peers_test.go
+++ b/internal/weights/transfer/peers_test.go
@@ -13,8 +13,8 @@
 	"lynxgate.dev/lynxgate/internal/weights/store"
 )
 
-// spoiler changes what a node sends to its peers.
-type spoiler struct {
+// faultyServer changes what a node sends to its peers.
+type faultyServer struct {
 	rpc.DRPCWeightsServer
 	// piece is called in place of the stream's Send.
 	piece func(stream rpc.DRPCWeights_ExchangeStream, p *rpc.ChunkPiece) error
@@ -22,51 +22,51 @@
 	have func(u *rpc.HaveUpdate)
 }
 
-func (s *spoiler) Exchange(stream rpc.DRPCWeights_ExchangeStream) error {
+func (s *faultyServer) Exchange(stream rpc.DRPCWeights_ExchangeStream) error {
 	if s.piece != nil {
-		stream = &spoiledExchange{DRPCWeights_ExchangeStream: stream, spoiler: s}
+		stream = &faultyExchange{DRPCWeights_ExchangeStream: stream, faultyServer: s}
 	}
 	return s.DRPCWeightsServer.Exchange(stream)
 }
 
-func (s *spoiler) Haves(req *rpc.HavesRequest, stream rpc.DRPCWeights_HavesStream) error {
+func (s *faultyServer) Haves(req *rpc.HavesRequest, stream rpc.DRPCWeights_HavesStream) error {
 	if s.have != nil {
-		stream = &spoiledHaves{DRPCWeights_HavesStream: stream, spoiler: s}
+		stream = &faultyHaves{DRPCWeights_HavesStream: stream, faultyServer: s}
 	}
 	return s.DRPCWeightsServer.Haves(req, stream)
 }
 
-type spoiledExchange struct {
+type faultyExchange struct {
 	rpc.DRPCWeights_ExchangeStream
-	spoiler *spoiler
+	faultyServer *faultyServer
 }
 
-func (s *spoiledExchange) Send(p *rpc.ChunkPiece) error {
-	return s.spoiler.piece(s.DRPCWeights_ExchangeStream, p)
+func (s *faultyExchange) Send(p *rpc.ChunkPiece) error {
+	return s.faultyServer.piece(s.DRPCWeights_ExchangeStream, p)
 }
 
-type spoiledHaves struct {
+type faultyHaves struct {
 	rpc.DRPCWeights_HavesStream
-	spoiler *spoiler
+	faultyServer *faultyServer
 }
 
-func (s *spoiledHaves) Send(u *rpc.HaveUpdate) error {
-	s.spoiler.have(u)
+func (s *faultyHaves) Send(u *rpc.HaveUpdate) error {
+	s.faultyServer.have(u)
 	return s.DRPCWeights_HavesStream.Send(u)
 }
 
-func spoilPieces(piece func(stream rpc.DRPCWeights_ExchangeStream, p *rpc.ChunkPiece) error) nodeOptions {
+func withFaultyPieces(piece func(stream rpc.DRPCWeights_ExchangeStream, p *rpc.ChunkPiece) error) nodeOptions {
 	return nodeOptions{serve: func(inner rpc.DRPCWeightsServer) rpc.DRPCWeightsServer {
-		return &spoiler{DRPCWeightsServer: inner, piece: piece}
+		return &faultyServer{DRPCWeightsServer: inner, piece: piece}
 	}}
 }
 
-// isChunk tells chunks from manifests, which the spoilers let through.
+// isChunk distinguishes chunks from manifests, which faulty servers do not change.
 func isChunk(p *rpc.ChunkPiece) bool { return len(p.GetData()) > 0 && p.GetData()[0] != '{' }
 
-// A third of the nodes spoil what they send, each in another way; all nodes
-// stage the whole all the same, and never other bytes.
-func TestSpoiledPeers(t *testing.T) {
+// Fails if wrong, incomplete or stalled pieces from a third of the nodes keep any
+// node from staging the complete file, or make it stage wrong bytes.
+func TestFaultyPeersDoNotPreventStaging(t *testing.T) {
 	halt := func(stream rpc.DRPCWeights_ExchangeStream) error {
 		<-stream.Context().Done()
 		return context.Canceled
@@ -112,43 +112,43 @@
 			origin := newFakeOrigin(t)
 			data := weightsOf(1, testChunks)
 			ref := origin.publish(t, "v1", data)
-			nodes := startNodes(t, 6, map[int]nodeOptions{1: spoilPieces(piece), 4: spoilPieces(piece)})
+			nodes := startNodes(t, 6, map[int]nodeOptions{1: withFaultyPieces(piece), 4: withFaultyPieces(piece)})
 			want(nodes, nodes, ref)
 			requireStaged(t, nodes, "v1", data)
 		})
 	}
 }
 
-func TestPeerThatClaimsAllAndHoldsNothing(t *testing.T) {
+func TestPeerReportsChunksItDoesNotHold(t *testing.T) {
 	origin := newFakeOrigin(t)
 	data := weightsOf(1, testChunks)
 	ref := origin.publish(t, "v1", data)
-	lie := nodeOptions{
-		// Its own fetches are kept from it, so that it holds nothing.
+	falseReports := nodeOptions{
+		// A scratch folder of one byte keeps it from storing any chunk.
 		config: func(c *Config) { c.MaxBytes = 1 },
 		serve: func(inner rpc.DRPCWeightsServer) rpc.DRPCWeightsServer {
-			return &spoiler{DRPCWeightsServer: inner, have: func(u *rpc.HaveUpdate) {
+			return &faultyServer{DRPCWeightsServer: inner, have: func(u *rpc.HaveUpdate) {
 				u.Reset_ = true
 				u.Bitmap = bytes.Repeat([]byte{0xff}, testChunks/8)
 				u.SeenBitmap = u.Bitmap
 			}}
 		},
 	}
-	nodes := startNodes(t, 4, map[int]nodeOptions{2: lie})
+	nodes := startNodes(t, 4, map[int]nodeOptions{2: falseReports})
 	want(nodes, nodes, ref)
 	requireStaged(t, []*node{nodes[0], nodes[1], nodes[3]}, "v1", data)
 	require.False(t, nodes[2].progressOf("v1").Staged)
 	require.Contains(t, nodes[2].progressOf("v1").Err, store.ErrFull.Error())
 }
 
-func TestPeersKilledInTheBurst(t *testing.T) {
+func TestPeerKilledDuringTransfer(t *testing.T) {
 	origin := newFakeOrigin(t)
 	data := weightsOf(1, testChunks)
 	ref := origin.publish(t, "v1", data)
 	var nodes []*node
 	var kill sync.Once
 	killed := make(chan struct{})
-	opts := spoilPieces(func(stream rpc.DRPCWeights_ExchangeStream, p *rpc.ChunkPiece) error {
+	opts := withFaultyPieces(func(stream rpc.DRPCWeights_ExchangeStream, p *rpc.ChunkPiece) error {
 		if isChunk(p) {
 			_ = stream.Send(&rpc.ChunkPiece{Id: p.Id, Data: p.Data[:10]})
 			kill.Do(func() {
@@ -167,10 +167,3 @@
 	kill.Do(func() { close(killed) })
 	<-killed
 }
-
-// Every VM takes its turn at being dead from the start: one of them is the
-// first feeder of any given chunk and of the manifest.
-// A restart after any number of chunks resumes: what was held is not fetched
-// again.
-// cutter is a network that can be cut between zones.
-// A model many times the memory bound must not be held in memory.
--- a/internal/weights/transfer/piece.go
+++ b/internal/weights/transfer/piece.go
@@ -11,8 +11,8 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// pieceEncoding reads a ChunkPiece without allocating: its data goes into the
-// buffer of the piece it is read into. It is the protobuf encoding otherwise.
+// pieceEncoding is the protobuf encoding, but decodes a ChunkPiece without
+// allocation: it reuses the data buffer of the target piece.
 type pieceEncoding struct{}
 
 var errPiece = errors.New("malformed chunk piece")
@@ -77,7 +77,7 @@
 	}
 }
 
-// buffers recycles chunk and piece buffers.
+// buffers is a pool of chunk or piece buffers.
 type buffers struct {
 	pool sync.Pool
 }
@@ -90,5 +90,5 @@
 	return make([]byte, length)
 }
 
-// put takes a buffer back; nobody may use it any more.
+// put returns a buffer to the pool. The caller must not use it any more.
 func (b *buffers) put(p []byte) { b.pool.Put(&p) }
--- a/internal/weights/transfer/scratch_test.go
+++ b/internal/weights/transfer/scratch_test.go
@@ -18,6 +18,8 @@
 	"lynxgate.dev/lynxgate/internal/weights/store"
 )
 
+// Fails if chunks held before a restart are fetched again. The restarts come
+// after different numbers of chunks.
 func TestRestartResumes(t *testing.T) {
 	origin := newFakeOrigin(t)
 	data := weightsOf(1, testChunks)
@@ -33,7 +35,7 @@
 	})
 	held := 0
 	for held < testChunks {
-		// The origin sends nothing at first: what is held now was kept.
+		// The origin sends nothing at first, so all chunks held were stored earlier.
 		allowed.Store(0)
 		n := startNode(t, "vm-00", "zone-0", dir, nodeOptions{})
 		want([]*node{n}, []*node{n}, ref)
@@ -61,10 +63,10 @@
 	path := nodes[0].progressOf("v1").Path
 	require.NoError(t, os.RemoveAll(nodes[0].cfg.Dir))
 	require.Eventually(t, func() bool { return !nodes[0].progressOf("v1").Staged }, patience, time.Millisecond,
-		"a file that is gone must not be called staged")
+		"a deleted file must not be reported as staged")
 	requireStaged(t, nodes, "v1", data)
 	require.FileExists(t, path)
-	require.Equal(t, int64(len(data)), origin.sent.Load(), "the peer has it, the origin need not send it")
+	require.Equal(t, int64(len(data)), origin.sent.Load(), "the peer holds all chunks, so the origin must not send any")
 }
 
 func TestScratchFolderFull(t *testing.T) {
@@ -92,9 +94,11 @@
 	} else {
 		want(nodes, nodes, ref2)
 	}
-	requireStaged(t, nodes, other, refs[other]) // room is made once the first is not wanted
+	requireStaged(t, nodes, other, refs[other]) // disk space is freed once the first is not wanted
 }
 
+// Fails if the live heap grows with the size of the model instead of staying near
+// the memory bound.
 func TestMemoryIsBounded(t *testing.T) {
 	const size, chunk, bound = 96 << 20, 1 << 20, 4 << 20
 	origin := newFakeOrigin(t)
@@ -120,12 +124,12 @@
 		most = max(most, liveHeap())
 		return nodes[0].progressOf("v1").Staged && nodes[1].progressOf("v1").Staged
 	}, patience, time.Millisecond)
-	require.Less(t, most-min(most, before), uint64(6*bound), "two nodes, their bounds, and room for the rest")
+	require.Less(t, most-min(most, before), uint64(6*bound), "live heap exceeds the bounds of two nodes plus a margin")
 }
 
-// TestFetchesGivenUpCountAgainstTheMemoryBound gives up fetches whose reads go on for
-// longer: their buffers are held until then, and no others may be made beyond the bound.
-func TestFetchesGivenUpCountAgainstTheMemoryBound(t *testing.T) {
+// Fails if a cancelled fetch releases its share of the memory bound while a read still
+// uses its buffer.
+func TestCancelledFetchesCountAgainstTheMemoryBound(t *testing.T) {
 	const chunks, bound = 16, 4 * testChunk
 	origin := newFakeOrigin(t)
 	data := weightsOf(1, chunks)
@@ -140,13 +144,13 @@
 	want(nodes, nodes, ref)
 	time.Sleep(8 * testConfig("", "", "").Swarm.ProgressTimeout)
 	require.NotZero(t, slow.most.Load())
-	require.LessOrEqual(t, slow.most.Load(), int64(bound/testChunk), "fetches that hold a buffer at once")
+	require.LessOrEqual(t, slow.most.Load(), int64(bound/testChunk), "too many fetches with a buffer at once")
 	release()
 	requireStaged(t, nodes, "v1", data)
 }
 
-// slowReads is an http.RoundTripper whose answers with chunks are not read on, whatever
-// ends the request, until stuck is closed.
+// slowReads is an http.RoundTripper. Reads of its responses with chunks block until
+// stuck is closed, even after the request was cancelled.
 type slowReads struct {
 	stuck     chan struct{}
 	now, most atomic.Int64
--- a/internal/weights/transfer/serve.go
+++ b/internal/weights/transfer/serve.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// Have updates on a stream are told apart by haveInterval, the first ones
-	// of a burst by eagerInterval since all depends on them, and by
-	// lazyInterval when few chunks have been added for the number told before.
+	// haveInterval is the interval between have updates on a stream. It is
+	// eagerInterval for the first eagerCount changes, since the first chunks
+	// have to spread fast, and lazyInterval while the new changes are few in
+	// proportion to those already sent.
 	eagerInterval = 5 * time.Millisecond
 	haveInterval  = 20 * time.Millisecond
 	lazyInterval  = 60 * time.Millisecond
 	eagerCount    = 32
-	fewShare      = 16 // fewer than one in fewShare are few
+	fewShare      = 16 // fewer than one in fewShare is few
 )
 
-// exchange is one peer's stream of chunk requests.
+// exchange serves one peer's stream of chunk requests.
 type exchange struct {
 	manager *Manager
 	stream  rpc.DRPCWeights_ExchangeStream
@@ -46,21 +47,21 @@
 	for {
 		req, err := stream.Recv()
 		if err != nil {
-			return nil // the peer has gone; nothing to tell it
+			return nil // the connection is closed, so an error could not be sent
 		}
 		m.metrics.controlReceived(proto.Size(req))
 		if req.GetCancel() {
 			e.cancel(req.GetId())
 			continue
 		}
-		turn := m.uploads.enter(req.GetProgress())
-		if turn == nil {
+		slot := m.uploads.enqueue(req.GetProgress())
+		if slot == nil {
 			if e.sendBusy(req.GetId()) != nil {
 				return nil
 			}
 			continue
 		}
-		e.begin(ctx, req, turn)
+		e.startUpload(ctx, req, slot)
 	}
 }
 
@@ -78,7 +79,7 @@
 	}
 }
 
-func (e *exchange) begin(ctx context.Context, req *rpc.ChunkRequest, turn *turn) {
+func (e *exchange) startUpload(ctx context.Context, req *rpc.ChunkRequest, slot *slot) {
 	ctx, cancel := context.WithCancel(ctx)
 	e.mu.Lock()
 	e.cancels[req.GetId()] = cancel
@@ -92,8 +93,8 @@
 			e.mu.Unlock()
 			cancel()
 		}()
-		defer turn.release()
-		e.upload(ctx, req, turn)
+		defer slot.release()
+		e.upload(ctx, req, slot)
 	}()
 }
 
@@ -105,9 +106,9 @@
 	return e.stream.Send(piece)
 }
 
-// upload waits for its turn and sends a chunk in pieces.
-func (e *exchange) upload(ctx context.Context, req *rpc.ChunkRequest, turn *turn) {
-	if turn.wait(ctx) != nil {
+// upload waits for a slot and sends a chunk in pieces.
+func (e *exchange) upload(ctx context.Context, req *rpc.ChunkRequest, slot *slot) {
+	if slot.wait(ctx) != nil {
 		return
 	}
 	began := time.Now()
@@ -118,12 +119,12 @@
 		_ = e.send(&rpc.ChunkPiece{Id: req.GetId(), NotHeld: true, Last: true})
 		return
 	}
-	if e.sendContent(ctx, turn, req.GetId(), content) {
+	if e.sendContent(ctx, slot, req.GetId(), content) {
 		e.manager.uploads.observe(time.Since(began))
 	}
 }
 
-func (e *exchange) sendContent(ctx context.Context, turn *turn, id uint64, c content) bool {
+func (e *exchange) sendContent(ctx context.Context, slot *slot, id uint64, c content) bool {
 	buf := e.manager.pieces.get(e.manager.uploads.piece)
 	defer e.manager.pieces.put(buf)
 	for offset := 0; offset < c.length; {
@@ -132,12 +133,12 @@
 			_ = e.send(&rpc.ChunkPiece{Id: id, NotHeld: true, Last: true})
 			return false
 		}
-		if turn.wait(ctx) != nil || e.manager.link.Up(ctx, pace.Transfer, len(p)) != nil {
+		if slot.wait(ctx) != nil || e.manager.link.Up(ctx, pace.Transfer, len(p)) != nil {
 			return false
 		}
 		offset += len(p)
 		piece := &rpc.ChunkPiece{Id: id, Data: p, Last: offset == c.length}
-		timer := time.AfterFunc(stallYield, turn.release)
+		timer := time.AfterFunc(stallYield, slot.release)
 		err := e.send(piece)
 		timer.Stop()
 		if err != nil {
@@ -158,19 +159,19 @@
 	var id manifest.Digest
 	copy(id[:], req.GetManifest())
 	h := m.hub(id)
-	at := &cursor{generation: -1} // the first update says what is held, if nothing
-	told := 0
+	at := &cursor{generation: -1} // so that the first update is a full one, even if nothing is held
+	sentQueue := 0
 	for ctx.Err() == nil {
 		update, changed := h.next(at)
-		if update == nil && m.uploads.queue() == told {
+		if update == nil && m.uploads.queue() == sentQueue {
 			waitAtMost(ctx, changed, lazyInterval)
 			continue
 		}
 		if update == nil {
 			update = &rpc.HaveUpdate{}
 		}
-		told = m.uploads.queue()
-		update.Queue = uint32(told)
+		sentQueue = m.uploads.queue()
+		update.Queue = uint32(sentQueue)
 		m.metrics.controlSent(proto.Size(update))
 		if err := stream.Send(update); err != nil {
 			return nil
@@ -180,7 +181,7 @@
 			continue
 		}
 		waitAtMost(ctx, nil, haveInterval)
-		if h.few(at) {
+		if h.fewChanges(at) {
 			waitAtMost(ctx, nil, lazyInterval-haveInterval)
 		}
 	}
--- a/internal/weights/transfer/uploads.go
+++ b/internal/weights/transfer/uploads.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// uploadTurns is how many chunks are sent at once: few, so that each is
-	// soon whole at its receiver and can be passed on.
-	uploadTurns = 2
-	// uploadQueue bounds the requests waiting for a turn.
+	// uploadSlots is how many chunks are sent at once: few, so that each is
+	// soon complete at its receiver and can be passed on.
+	uploadSlots = 2
+	// uploadQueue bounds the number of requests that wait for a slot.
 	uploadQueue = 4
-	// stallYield is how long a send may block before its turn passes on.
+	// stallYield is how long a send may block before its slot is released.
 	stallYield = 100 * time.Millisecond
 
 	minPiece     = 8 << 10
@@ -21,30 +21,30 @@
 
 	minBusyRetry = 5 * time.Millisecond
 	maxBusyRetry = 2 * time.Second
-	// tookWeight is the weight of a new duration in the smoothed one.
-	tookWeight = 0.125
+	// averageWeight is the weight of a new duration in the moving average.
+	averageWeight = 0.125
 )
 
 // uploads decides in which order chunk requests are answered. The peer that
-// holds least goes first: the time to N replicas is the slowest's time, and
-// what a peer misses while the swarm is still short of chunks it cannot make
-// up for later, since its link is full by then.
+// holds the fewest chunks comes first: the slowest peer determines the time to N
+// replicas, and a peer that falls behind while chunks are scarce cannot catch up
+// later, when its link is saturated.
 type uploads struct {
 	piece int // bytes sent at a time
 
 	mu      sync.Mutex
-	free    int // turns
-	waiting []*turn
-	took    time.Duration // smoothed time of one upload within its turn
+	free    int // slots
+	waiting []*slot
+	average time.Duration // moving average of the time that an upload holds its slot
 }
 
-// turn is the right to send a chunk. It may be released early by a stalled
-// send and is then taken again.
-type turn struct {
+// slot is the right of one request to send a chunk. A stalled send releases it
+// early; the request then queues for it again.
+type slot struct {
 	uploads  *uploads
-	progress uint32 // of the peer, thousandths
+	progress uint32 // of the peer, in thousandths
 	granted  chan struct{}
-	held     bool // guarded by uploads.mu
+	active   bool // guarded by uploads.mu
 }
 
 func newUploads(rate float64) *uploads {
@@ -52,7 +52,7 @@
 	if rate > 0 {
 		piece = min(maxPiece, max(minPiece, int(rate*pieceSeconds)))
 	}
-	return &uploads{free: uploadTurns, piece: piece}
+	return &uploads{free: uploadSlots, piece: piece}
 }
 
 // queue returns how many requests wait.
@@ -62,40 +62,41 @@
 	return len(u.waiting)
 }
 
-// retryAfter is about when the queue will have room again.
+// retryAfter estimates when the queue will accept requests again.
 func (u *uploads) retryAfter() time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	d := u.took * time.Duration(len(u.waiting)) / uploadTurns / 2
+	d := u.average * time.Duration(len(u.waiting)) / uploadSlots / 2
 	return min(maxBusyRetry, max(minBusyRetry, d))
 }
 
 func (u *uploads) observe(d time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.took += time.Duration(tookWeight * float64(d-u.took))
+	u.average += time.Duration(averageWeight * float64(d-u.average))
 }
 
-// enter queues for a turn, or returns nil when the queue is full.
-func (u *uploads) enter(progress uint32) *turn {
+// enqueue queues for a slot, or returns nil if the queue is full.
+func (u *uploads) enqueue(progress uint32) *slot {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.waiting) >= uploadQueue {
 		return nil
 	}
-	t := &turn{uploads: u, progress: progress}
+	t := &slot{uploads: u, progress: progress}
 	u.add(t)
 	return t
 }
 
-// add queues t. The lock is held.
-func (u *uploads) add(t *turn) {
+// add queues t. The caller holds the lock.
+func (u *uploads) add(t *slot) {
 	t.granted = make(chan struct{})
 	u.waiting = append(u.waiting, t)
 	u.grant()
 }
 
-// grant gives free turns to the waiting that hold least. The lock is held.
+// grant gives free slots to the waiting requests whose peers hold the fewest
+// chunks. The caller holds the lock.
 func (u *uploads) grant() {
 	for u.free > 0 && len(u.waiting) > 0 {
 		best := 0
@@ -107,13 +108,13 @@
 		t := u.waiting[best]
 		u.waiting = append(u.waiting[:best:best], u.waiting[best+1:]...)
 		u.free--
-		t.held = true
+		t.active = true
 		close(t.granted)
 	}
 }
 
-// wait returns when the turn has come. After a release it queues again.
-func (t *turn) wait(ctx context.Context) error {
+// wait waits until the slot is granted. After a release it queues again.
+func (t *slot) wait(ctx context.Context) error {
 	u := t.uploads
 	u.mu.Lock()
 	if t.granted == nil {
@@ -129,13 +130,13 @@
 	}
 }
 
-// release gives the turn, or the place in the queue, to others.
-func (t *turn) release() {
+// release frees the slot, or leaves the queue.
+func (t *slot) release() {
 	u := t.uploads
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if t.held {
-		t.held = false
+	if t.active {
+		t.active = false
 		u.free++
 	} else {
 		for i, w := range u.waiting {
--- a/internal/weights/transfer/version.go
+++ b/internal/weights/transfer/version.go
@@ -17,16 +17,17 @@
 )
 
 const (
-	// retryFirst and retryMax bound the pause after an attempt that failed.
+	// retryFirst and retryMax bound the backoff after a failed attempt to stage
+	// a version.
 	retryFirst = 250 * time.Millisecond
 	retryMax   = 10 * time.Second
-	// intactEvery is how often a staged file is looked at.
+	// intactEvery is how often the files of a version are checked.
 	intactEvery = time.Second
 	eventBuffer = 256
 )
 
-// version brings one wanted model version onto this VM. Its loop (run) owns
-// the swarm state; links and fetches report to it by posting functions.
+// version stages one wanted model version on this VM. Its loop (run) owns the
+// swarm state; links and fetches pass results to it by posting functions.
 type version struct {
 	manager *Manager
 	ref     inventory.ModelVersion
@@ -44,20 +45,21 @@
 	// progress is read by Status.
 	progress atomic.Pointer[Progress]
 
-	// Below: owned by the loop.
-	now     Wanted
-	links   map[string]*link
-	running sync.WaitGroup // links and fetches
-	haves   map[string]*peerHaves
-	files   *store.Version
-	state   *swarm.State
-	fetches map[uint64]func() // cancels, by request id
-	events  []swarm.Event     // not yet taken by the scheduler
-	holding bool              // events are gathered, or actions carried out
-	fault   error             // ends the present attempt
+	// The fields below are owned by the loop.
+	current    Wanted
+	links      map[string]*link
+	running    sync.WaitGroup // links and fetches
+	earlyHaves map[string]*peerHaves
+	files      *store.Version
+	state      *swarm.State
+	fetches    map[uint64]func() // cancel functions by request id
+	events     []swarm.Event     // not yet passed to the scheduler
+	batching   bool              // events are collected; no scheduler run now
+	failure    error             // fails the present attempt
 }
 
-// peerHaves is what a peer has told before the manifest was known here.
+// peerHaves buffers the updates that a peer has sent before the manifest was
+// known here.
 type peerHaves struct {
 	updates []*rpc.HaveUpdate
 }
@@ -65,17 +67,17 @@
 func newVersion(m *Manager, w Wanted) *version {
 	ctx, cancel := context.WithCancel(m.ctx)
 	v := &version{
-		manager: m,
-		ref:     w.Ref,
-		self:    swarm.Peer{VM: m.cfg.VM, Zone: m.cfg.Zone},
-		ctx:     ctx,
-		cancel:  cancel,
-		ended:   make(chan struct{}),
-		posted:  make(chan func(), eventBuffer),
-		wanted:  make(chan Wanted, 1),
-		now:     w,
-		links:   map[string]*link{},
-		haves:   map[string]*peerHaves{},
+		manager:    m,
+		ref:        w.Ref,
+		self:       swarm.Peer{VM: m.cfg.VM, Zone: m.cfg.Zone},
+		ctx:        ctx,
+		cancel:     cancel,
+		ended:      make(chan struct{}),
+		posted:     make(chan func(), eventBuffer),
+		wanted:     make(chan Wanted, 1),
+		current:    w,
+		links:      map[string]*link{},
+		earlyHaves: map[string]*peerHaves{},
 	}
 	v.id, v.badID = manifest.ParseDigest(w.Ref.Manifest)
 	v.progress.Store(&Progress{Model: w.Ref.Model, Version: w.Ref.Version})
@@ -87,7 +89,7 @@
 
 func (v *version) snapshot() Progress { return *v.progress.Load() }
 
-// update changes the progress and signals it. It is called by the loop only.
+// update changes the progress and signals the change. Only the loop may call it.
 func (v *version) update(change func(p *Progress)) {
 	p := v.snapshot()
 	change(&p)
@@ -95,8 +97,8 @@
 	v.manager.signal()
 }
 
-// setWanted hands the loop new peers or a new preference. Only the latest
-// counts.
+// setWanted passes new peers or a new preference to the loop, in place of an
+// earlier value that the loop has not received yet.
 func (v *version) setWanted(w Wanted) {
 	select {
 	case <-v.wanted:
@@ -105,7 +107,7 @@
 	v.wanted <- w
 }
 
-// post runs f in the loop. It gives up when the version has been stopped.
+// post runs f in the loop. It does nothing once the version has been stopped.
 func (v *version) post(f func()) {
 	select {
 	case v.posted <- f:
@@ -113,7 +115,7 @@
 	}
 }
 
-// run makes attempts until the version is no longer wanted.
+// run attempts to stage the version, with backoff, until it is no longer wanted.
 func (v *version) run() {
 	defer v.running.Wait()
 	defer v.cancel()
@@ -140,13 +142,13 @@
 }
 
 func (v *version) fail(err error) {
-	v.manager.cfg.Logger.Warn().Str("version", v.ref.Ref()).Err(err).Msg("weights not staged, trying again")
+	v.manager.cfg.Logger.Warn().Str("version", v.ref.Ref()).Err(err).Msg("weights not staged; retrying")
 	v.update(func(p *Progress) {
 		p.Staged, p.Path, p.Held, p.Err = false, "", 0, err.Error()
 	})
 }
 
-// reset closes everything that an attempt has opened.
+// reset releases all resources of an attempt.
 func (v *version) reset() {
 	for vm := range v.links {
 		v.disconnect(vm)
@@ -155,7 +157,7 @@
 		v.cancelFetch(id)
 	}
 	v.state = nil
-	v.fault = nil
+	v.failure = nil
 	v.hub.reset(0, nil)
 	v.manager.setManifest(v.id, nil)
 	if v.files != nil {
@@ -164,12 +166,11 @@
 	}
 }
 
-// attempt obtains the manifest, fetches the chunks, stages the whole and then
-// watches over it. It returns when something has gone wrong or the version is
-// stopped.
+// attempt obtains the manifest, fetches the chunks, stages the file and then
+// monitors it. It returns after a failure or when the version is stopped.
 func (v *version) attempt() error {
 	v.fetches = map[uint64]func(){}
-	v.haves = map[string]*peerHaves{}
+	v.earlyHaves = map[string]*peerHaves{}
 	encoded, err := v.obtainManifest()
 	if err != nil {
 		return err
@@ -206,7 +207,7 @@
 	return v.watch()
 }
 
-// stageFailed decides whether what lies on the disk is worth keeping.
+// stageFailed deletes the files if the digest of the whole file is wrong.
 func (v *version) stageFailed(err error) error {
 	if errors.Is(err, store.ErrWholeDigest) {
 		v.files.Forget()
@@ -214,7 +215,7 @@
 	return err
 }
 
-// watch returns when the staged file is no longer what was staged.
+// watch returns when the staged file has been changed or removed.
 func (v *version) watch() error {
 	ticker := time.NewTicker(intactEvery)
 	defer ticker.Stop()
@@ -226,7 +227,7 @@
 				return store.ErrWiped
 			}
 		case w := <-v.wanted:
-			v.now = w
+			v.current = w
 		case f := <-v.posted:
 			f()
 		case <-v.ctx.Done():
@@ -238,53 +239,53 @@
 // fetchAll runs the swarm until every chunk is held.
 func (v *version) fetchAll(m *manifest.Manifest) error {
 	v.state = v.newState(m)
-	v.together(func() {
-		v.step(swarm.MembersChanged{Members: v.now.Peers})
+	v.batch(func() {
+		v.step(swarm.MembersChanged{Members: v.current.Peers})
 		v.replayHaves(m.Len())
-		v.takeWaiting()
+		v.runPosted()
 	})
 	ticker := time.NewTicker(swarm.TickInterval)
 	defer ticker.Stop()
-	looked := v.manager.cfg.Now()
-	for !v.state.Complete() && v.fault == nil {
+	checked := v.manager.cfg.Now()
+	for !v.state.Complete() && v.failure == nil {
 		select {
 		case f := <-v.posted:
-			v.together(func() {
+			v.batch(func() {
 				f()
-				v.takeWaiting()
+				v.runPosted()
 			})
 		case w := <-v.wanted:
-			v.now = w
+			v.current = w
 			v.step(swarm.MembersChanged{Members: w.Peers})
 		case <-ticker.C:
-			v.together(func() {
-				v.takeWaiting()
+			v.batch(func() {
+				v.runPosted()
 				v.step(swarm.Tick{})
 			})
-			if now := v.manager.cfg.Now(); now.Sub(looked) >= intactEvery {
-				looked = now
+			if now := v.manager.cfg.Now(); now.Sub(checked) >= intactEvery {
+				checked = now
 				v.checkIntact()
 			}
 		case <-v.ctx.Done():
 			return v.ctx.Err()
 		}
 	}
-	return v.fault
+	return v.failure
 }
 
 func (v *version) checkIntact() {
 	if !v.files.Intact() {
 		v.files.Forget()
-		v.fault = store.ErrWiped
+		v.failure = store.ErrWiped
 	}
 }
 
 func (v *version) newState(m *manifest.Manifest) *swarm.State {
 	cfg := v.manager.cfg
-	tuning := cfg.Swarm.WithDefaults(v.now.Prefer == inventory.PreferOriginBytes)
-	room := v.manager.window(m.ChunkSize)
-	tuning.OriginStreams = max(1, min(tuning.OriginStreams, room/2))
-	tuning.Window = max(1, min(tuning.Window, room-tuning.OriginStreams))
+	tuning := cfg.Swarm.WithDefaults(v.current.Prefer == inventory.PreferOriginBytes)
+	window := v.manager.window(m.ChunkSize)
+	tuning.OriginStreams = max(1, min(tuning.OriginStreams, window/2))
+	tuning.Window = max(1, min(tuning.Window, window-tuning.OriginStreams))
 	var chunkTime time.Duration
 	if cfg.DownBytesPerSecond > 0 {
 		chunkTime = time.Duration(float64(m.ChunkSize) / cfg.DownBytesPerSecond * float64(time.Second))
@@ -302,38 +303,38 @@
 	})
 }
 
-// takeWaiting runs what has been posted up to now.
-func (v *version) takeWaiting() {
+// runPosted runs the functions that have been posted so far.
+func (v *version) runPosted() {
 	for range len(v.posted) {
 		(<-v.posted)()
 	}
 }
 
-// together gives the scheduler all events of f at once.
-func (v *version) together(f func()) {
-	v.holding = true
+// batch runs f and passes all its events to the scheduler at once.
+func (v *version) batch(f func()) {
+	v.batching = true
 	f()
-	v.holding = false
-	v.decide()
+	v.batching = false
+	v.runScheduler()
 }
 
-// step gives the scheduler an event: at once, or, if it comes while events are
-// gathered or actions carried out, together with the others.
+// step passes an event to the scheduler: at once, or, while events are collected
+// or actions carried out, together with the others.
 func (v *version) step(ev swarm.Event) {
 	if v.state == nil {
 		return
 	}
 	v.events = append(v.events, ev)
-	if !v.holding {
-		v.decide()
+	if !v.batching {
+		v.runScheduler()
 	}
 }
 
-// decide runs the scheduler and carries out what it says. An action that ends
-// at once brings another event, which waits until its turn.
-func (v *version) decide() {
-	v.holding = true
-	defer func() { v.holding = false }()
+// runScheduler passes the collected events to the scheduler and carries out its
+// actions. Events caused by these actions go to its next run.
+func (v *version) runScheduler() {
+	v.batching = true
+	defer func() { v.batching = false }()
 	for len(v.events) > 0 {
 		events := v.events
 		v.events = nil
--- a/internal/weights/transfer/version_test.go
+++ b/internal/weights/transfer/version_test.go
@@ -17,18 +17,17 @@
 
 func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// A feeder whose files take long to open is passed over, and others fetch its
-// share. What they tell meanwhile waits to be read, and must be read before
-// the feeder asks the origin for anything.
-func TestWaitingNewsIsReadBeforeTheOriginIsAsked(t *testing.T) {
+// Fails if a fetcher whose files take long to open fetches from the origin before
+// it has applied the queued updates of peers that fetched its chunks meanwhile.
+func TestQueuedUpdatesAreAppliedBeforeOriginFetches(t *testing.T) {
 	publisher := newFakeOrigin(t)
 	ref := publisher.publish(t, "v1", weightsOf(1, testChunks))
-	var asked atomic.Int32
+	var requests atomic.Int32
 	n := startNode(t, "vm-00", "zone-0", t.TempDir(), nodeOptions{config: func(c *Config) {
 		c.Swarm.OriginDeadline = patience
 		c.HTTP = &http.Client{Transport: roundTripper(func(*http.Request) (*http.Response, error) {
-			asked.Add(1)
-			return nil, errors.New("not to be asked")
+			requests.Add(1)
+			return nil, errors.New("unexpected request to the origin")
 		})}
 	}})
 	peers := []Peer{{VM: "vm-01"}, {VM: "vm-02"}, {VM: "vm-03"}}
@@ -46,7 +45,7 @@
 	for _, p := range peers {
 		l := &link{manager: n.Manager, peer: p, stop: func() {}, downloads: map[uint64]*download{}}
 		v.links[p.VM] = l
-		v.onHaves(l, &rpc.HaveUpdate{Reset_: true}) // when it did not know the manifest
+		v.onHaves(l, &rpc.HaveUpdate{Reset_: true}) // sent before the peer knew the manifest
 		v.posted <- func() {
 			v.onHaves(l, &rpc.HaveUpdate{Reset_: true, Bitmap: all.Bytes(testChunks), SeenBitmap: all.Bytes(testChunks)})
 		}
@@ -54,5 +53,5 @@
 	v.posted <- v.cancel
 	require.Error(t, v.fetchAll(v.files.Manifest()))
 	v.running.Wait()
-	require.Zero(t, asked.Load(), "the origin was asked for what peers had told they hold")
+	require.Zero(t, requests.Load(), "chunks were fetched from the origin that peers had reported")
 }
