--- a/internal/weights/pace/bucket.go
+++ b/internal/weights/pace/bucket.go
@@ -1,9 +1,9 @@
 // Package pace shares a VM's link between live requests and transfers.
 //
-// State: a Bucket per direction, which grants bytes to waiting takers by class
-// and in order, and a Governor, which lowers the transfers' share of the link
-// when live first-token latency rises. Bucket and Governor are pure; Link adds
-// the lock and the timer. Rates are in bytes per second.
+// State: a Bucket per direction, which grants bytes to waiting requests by class
+// and in order of arrival, and a Governor, which lowers the transfers' share of
+// the link when live first-token latency rises. Bucket and Governor read no clock;
+// Link adds the lock and the timer. Rates are in bytes per second.
 package pace
 
 import (
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// Class orders takers of one direction.
+// Class is the priority of a request for bytes in one direction.
 type Class int
 
-// The classes. Live bytes go before all others. Bytes from the origin go before
-// those from peers: until a chunk has left the origin nobody can spread it.
+// The classes, highest priority first. Bytes from the origin come before those
+// from peers because peers can spread a chunk only once the origin has sent it.
 const (
 	Live Class = iota
 	FromOrigin
@@ -23,16 +23,16 @@
 	classes
 )
 
-// burst is how much unused time a bucket may make up for. It covers the
-// lateness of timers and of the scheduler; it is not a licence to exceed the
-// rate for longer.
+// burst is how much unused time a bucket can use later. It covers the lateness of
+// timers and of the scheduler, and is short so that the rate is not exceeded for
+// longer.
 const burst = 25 * time.Millisecond
 
-// maxDebt bounds how long live bytes may keep the link from transfers at a
-// time: a rate set below what live requests need must not end transfers.
+// maxDebt bounds how long live bytes can block transfers at a time. Without it, a
+// configured rate below what live requests use would stop transfers.
 const maxDebt = 250 * time.Millisecond
 
-type taker struct {
+type waiter struct {
 	id    uint64
 	bytes int
 }
@@ -41,33 +41,34 @@
 // use.
 type Bucket struct {
 	rate  float64 // 0: no pacing
-	share float64 // of rate, for transfers
-	// free is when the link has passed all bytes granted so far; transferFree
-	// is the same for the transfers' share.
+	share float64 // fraction of rate that transfers may use
+	// free is when all bytes granted so far will have passed the link;
+	// transferFree is the same for the transfers' share.
 	free         time.Time
 	transferFree time.Time
-	queues       [classes][]taker
+	queues       [classes][]waiter
 	nextID       uint64
 }
 
 // NewBucket returns a bucket with the given rate; 0 means no pacing.
 func NewBucket(rate float64) *Bucket { return &Bucket{rate: rate, share: 1} }
 
-// SetShare sets the part of the rate that transfers may use, in 0..1.
+// SetShare sets the fraction of the rate that transfers may use, in 0..1 but
+// not 0.
 func (b *Bucket) SetShare(share float64) { b.share = share }
 
-// Rate returns the bucket's rate.
+// Rate returns the rate in bytes per second; 0 means no pacing.
 func (b *Bucket) Rate() float64 { return b.rate }
 
-// Add queues a taker and returns its id. Grants come from Advance.
+// Add queues a request for bytes and returns its id. Advance grants it.
 func (b *Bucket) Add(class Class, bytes int) uint64 {
 	b.nextID++
-	b.queues[class] = append(b.queues[class], taker{id: b.nextID, bytes: bytes})
+	b.queues[class] = append(b.queues[class], waiter{id: b.nextID, bytes: bytes})
 	return b.nextID
 }
 
-// Spend counts live bytes that pass the link without waiting: what is granted
-// next has to wait for them.
+// Spend accounts for live bytes that pass the link without waiting. Later grants
+// wait for them, for at most maxDebt.
 func (b *Bucket) Spend(bytes int, now time.Time) {
 	b.charge(Live, bytes, now)
 	if limit := now.Add(maxDebt); b.free.After(limit) {
@@ -75,7 +76,7 @@
 	}
 }
 
-// Remove drops a taker that no longer waits.
+// Remove removes a request that is no longer waiting.
 func (b *Bucket) Remove(id uint64) {
 	for class := range b.queues {
 		for i, t := range b.queues[class] {
@@ -87,8 +88,8 @@
 	}
 }
 
-// Advance returns the ids of the takers that may pass at now. When takers are left waiting it also
-// returns the time of the next grant, else the zero time.
+// Advance returns the ids of the requests granted at now. If others are still
+// waiting, it also returns the time of the next grant, else the zero time.
 func (b *Bucket) Advance(now time.Time) ([]uint64, time.Time) {
 	var granted []uint64
 	for {
@@ -106,7 +107,8 @@
 	}
 }
 
-// next returns the class to be served and when it may be.
+// next returns the class of the next grant and its earliest time, or -1 if no
+// request is waiting.
 func (b *Bucket) next() (Class, time.Time) {
 	if len(b.queues[Live]) > 0 {
 		return Live, b.free
@@ -133,7 +135,7 @@
 	}
 }
 
-// extend moves a busy-until time on by seconds, from now less the burst at
+// extend adds seconds to a busy-until time, which counts from now minus burst at
 // the earliest.
 func extend(busy, now time.Time, seconds float64) time.Time {
 	if floor := now.Add(-burst); busy.Before(floor) {
--- a/internal/weights/pace/governor.go
+++ b/internal/weights/pace/governor.go
@@ -2,122 +2,123 @@
 
 import "time"
 
-// The governor's rule: multiplicative fall and additive rise of the transfers'
-// share, as in TCP's congestion avoidance, but a fall is a trial: when live
-// requests are no faster for it, something else makes them slow (most often
-// the engine's own queue in the very burst that the weights are for), and the
-// transfers get their share back.
+// The transfers' share decreases by a factor and increases by a constant, as in
+// TCP congestion avoidance. But each decrease is a trial: if live requests do not
+// get faster, something else makes them slow (most often the engine's own queue,
+// in the load that the new weights are for), and the share is restored to 1.
 const (
-	// minShare keeps a transfer going however slow live requests are.
-	minShare   = 0.25
-	fallFactor = 0.8
-	rise       = 0.05
-	// stepEvery bounds how often the share rises, trialTime is how long a
-	// fall may take to show its effect, and holdOff is how long no other is
-	// tried after one without effect.
+	// minShare lets transfers progress however slow live requests are.
+	minShare       = 0.25
+	decreaseFactor = 0.8
+	increaseStep   = 0.05
+	// stepEvery is the minimum interval between increases, trialTime is how
+	// long a decrease may take to have an effect, and holdOff is how long no
+	// decrease is tried after one without effect.
 	stepEvery = 200 * time.Millisecond
 	trialTime = 500 * time.Millisecond
 	holdOff   = 10 * time.Second
-	// sustained is how long latency must stay risen before a fall, so that one
-	// slow request does not cost a transfer its share.
+	// sustained is how long latency must be elevated before a decrease, so that
+	// one slow request does not lower the share.
 	sustained = time.Second
-	// Latency counts as risen above riseFactor times the usual one plus
-	// riseSlack, and a fall as effective if it is below helpFactor times
-	// what it was.
-	riseFactor = 1.5
-	riseSlack  = 5 * time.Millisecond
-	helpFactor = 0.85
-	// Weights of a new observation in the averages. The usual latency follows
-	// a higher one slowly and a lower one fast.
-	recentWeight    = 0.2
-	usualUpWeight   = 0.002
-	usualDownWeight = 0.1
+	// Latency is elevated above elevatedFactor times the baseline plus
+	// elevatedSlack. A decrease is effective if latency is then below
+	// effectiveFactor times the latency before it.
+	elevatedFactor  = 1.5
+	elevatedSlack   = 5 * time.Millisecond
+	effectiveFactor = 0.85
+	// Weights of a new observation in the moving averages. The baseline follows
+	// a higher latency slowly and a lower one fast.
+	recentWeight       = 0.2
+	baselineUpWeight   = 0.002
+	baselineDownWeight = 0.1
 )
 
-// Governor decides the transfers' share of a link from live latencies. It is
-// not safe for concurrent use.
+// Governor adapts the transfers' share of a link to live latencies. It is not
+// safe for concurrent use.
 type Governor struct {
-	share    float64
-	recent   float64 // seconds
-	usual    float64 // seconds
-	observed bool
-	stepped  time.Time // when the share last rose
-	// before is the latency at the fall being tried, 0 if none is.
-	before  float64
-	trial   time.Time // when it began
-	holding time.Time // no fall until then
-	risen   time.Time // since when latency has been risen; zero if it is not
+	share     float64
+	recent    float64 // seconds
+	baseline  float64 // seconds
+	observed  bool
+	increased time.Time // when the share was last increased
+	// before is the latency before the decrease on trial, 0 without a trial.
+	before        float64
+	trialStart    time.Time // when the last trial started
+	holdUntil     time.Time // no decrease before this time
+	elevatedSince time.Time // since when latency has been elevated; zero if it is not
 }
 
-// NewGovernor returns a governor that leaves transfers the whole link.
+// NewGovernor returns a governor that starts with a share of 1.
 func NewGovernor() *Governor { return &Governor{share: 1} }
 
-// Share returns the part of the link that transfers may use.
+// Share returns the fraction of the link that transfers may use.
 func (g *Governor) Share() float64 { return g.share }
 
-// Observe takes the first-token latency of a live request.
+// Observe updates the share with the first-token latency of a live request.
 func (g *Governor) Observe(latency time.Duration, now time.Time) {
 	seconds := latency.Seconds()
 	if !g.observed {
-		g.observed, g.recent, g.usual = true, seconds, seconds
+		g.observed, g.recent, g.baseline = true, seconds, seconds
 		return
 	}
 	g.recent += recentWeight * (seconds - g.recent)
-	weight := usualUpWeight
-	if seconds < g.usual {
-		weight = usualDownWeight
+	weight := baselineUpWeight
+	if seconds < g.baseline {
+		weight = baselineDownWeight
 	}
-	g.usual += weight * (seconds - g.usual)
+	g.baseline += weight * (seconds - g.baseline)
 	g.step(now)
 }
 
-// Tick lets the share rise when no live requests are observed.
+// Tick increases the share when no live requests have been observed for a while.
 func (g *Governor) Tick(now time.Time) {
-	if g.share < 1 && now.Sub(g.stepped) >= 5*stepEvery && now.Sub(g.trial) >= 10*trialTime {
-		g.recent = g.usual
+	if g.share < 1 && now.Sub(g.increased) >= 5*stepEvery && now.Sub(g.trialStart) >= 10*trialTime {
+		g.recent = g.baseline
 		g.step(now)
 	}
 }
 
 func (g *Governor) step(now time.Time) {
 	if g.before > 0 {
-		g.judge(now)
+		g.endTrial(now)
 		return
 	}
-	if g.recent > g.usual*riseFactor+riseSlack.Seconds() {
-		g.fall(now)
+	if g.recent > g.baseline*elevatedFactor+elevatedSlack.Seconds() {
+		g.decrease(now)
 		return
 	}
-	g.risen = time.Time{}
-	if now.Sub(g.stepped) >= stepEvery {
-		g.stepped = now
-		g.share = min(1, g.share+rise)
+	g.elevatedSince = time.Time{}
+	if now.Sub(g.increased) >= stepEvery {
+		g.increased = now
+		g.share = min(1, g.share+increaseStep)
 	}
 }
 
-// fall begins the trial of a smaller share once latency has stayed risen.
-func (g *Governor) fall(now time.Time) {
-	if g.risen.IsZero() {
-		g.risen = now
+// decrease starts the trial of a smaller share once latency has been elevated for
+// long enough.
+func (g *Governor) decrease(now time.Time) {
+	if g.elevatedSince.IsZero() {
+		g.elevatedSince = now
 	}
-	if now.Sub(g.risen) < sustained || now.Before(g.holding) || g.share <= minShare {
+	if now.Sub(g.elevatedSince) < sustained || now.Before(g.holdUntil) || g.share <= minShare {
 		return
 	}
-	g.before, g.trial = g.recent, now
-	g.share = max(minShare, g.share*fallFactor)
+	g.before, g.trialStart = g.recent, now
+	g.share = max(minShare, g.share*decreaseFactor)
 }
 
-// judge decides whether a fall has helped.
-func (g *Governor) judge(now time.Time) {
-	if now.Sub(g.trial) < trialTime {
+// endTrial ends a trial after trialTime, and restores the share if it had no
+// effect.
+func (g *Governor) endTrial(now time.Time) {
+	if now.Sub(g.trialStart) < trialTime {
 		return
 	}
-	helped := g.recent < g.before*helpFactor
+	effective := g.recent < g.before*effectiveFactor
 	g.before = 0
-	if helped {
+	if effective {
 		return
 	}
 	g.share = 1
-	g.usual = g.recent
-	g.holding = now.Add(holdOff)
+	g.baseline = g.recent
+	g.holdUntil = now.Add(holdOff)
 }
--- a/internal/weights/pace/link.go
+++ b/internal/weights/pace/link.go
@@ -17,7 +17,7 @@
 }
 
 // NewLink returns a link with the given rates in bytes per second; 0 means no
-// pacing. now is the clock; waits use timers of the run time.
+// pacing. now is the clock; waits use runtime timers.
 func NewLink(up, down float64, now func() time.Time) *Link {
 	l := &Link{now: now, governor: NewGovernor()}
 	l.up.init(up, now)
@@ -25,34 +25,34 @@
 	return l
 }
 
-// Up waits until bytes may be sent.
+// Up waits until the given number of bytes may be sent.
 func (l *Link) Up(ctx context.Context, class Class, bytes int) error {
 	return l.up.take(ctx, class, bytes)
 }
 
-// Down waits until bytes may be taken in.
+// Down waits until the given number of bytes may be received.
 func (l *Link) Down(ctx context.Context, class Class, bytes int) error {
 	return l.down.take(ctx, class, bytes)
 }
 
-// SpendLive counts bytes of live requests that pass the link, up and down,
-// without holding them up: transfers make room for them.
+// SpendLive accounts for bytes of live requests that pass the link, up and down.
+// It does not delay them: transfers wait instead.
 func (l *Link) SpendLive(up, down int) {
 	l.up.spend(up)
 	l.down.spend(down)
 }
 
-// ObserveLive takes the first-token latency of a live request and adapts the
-// transfers' share.
+// ObserveLive adapts the transfers' share to the first-token latency of a live
+// request.
 func (l *Link) ObserveLive(latency time.Duration) {
 	l.adapt(func(now time.Time) { l.governor.Observe(latency, now) })
 }
 
-// Tick lets the transfers' share rise again after live requests have ceased.
-// Call it about once a second.
+// Tick raises the transfers' share again after live requests have stopped. Call
+// it about once a second.
 func (l *Link) Tick() { l.adapt(l.governor.Tick) }
 
-// Share returns the transfers' present share of the link.
+// Share returns the fraction of the link that transfers may use at present.
 func (l *Link) Share() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,7 +123,8 @@
 	d.bucket.Spend(bytes, d.now())
 }
 
-// advance releases granted callers and sets the timer. The lock is held.
+// advance wakes granted callers and sets the timer for the next grant. The caller
+// holds the lock.
 func (d *direction) advance() {
 	now := d.now()
 	ids, next := d.bucket.Advance(now)
--- a/internal/weights/pace/pace_test.go
+++ b/internal/weights/pace/pace_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-func TestLiveGoesBeforeWaitingTransfers(t *testing.T) {
+func TestLiveBytesPrecedeWaitingTransfers(t *testing.T) {
 	b := NewBucket(1000)
 	b.Advance(start)
 	first := b.Add(Transfer, 100)
@@ -29,8 +29,8 @@
 	require.Equal(t, []uint64{live, fromOrigin, transfer}, order)
 }
 
-// Live bytes never wait, and transfers wait for them, yet not for ever.
-func TestTransfersMakeRoomForLiveBytes(t *testing.T) {
+// Fails if transfers do not wait for live bytes, or wait for more than maxDebt.
+func TestTransfersWaitForLiveBytes(t *testing.T) {
 	b := NewBucket(1000)
 	grantedAt := func(spend func(now time.Time)) time.Duration {
 		b.free, b.transferFree = start, start
@@ -47,8 +47,8 @@
 	require.Equal(t, maxDebt, grantedAt(func(now time.Time) { b.Spend(100_000, now) }))
 }
 
-// Over any span, no more passes than the rate allows plus the burst and the
-// one piece that may be on its way; transfers keep to their share.
+// Fails if transfers get more bytes in any time than their share of the rate
+// allows, plus the burst and one piece in transit.
 func TestRateIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(1000, 1000000).Draw(t, "rate"))
@@ -75,7 +75,7 @@
 	})
 }
 
-// observe feeds the governor latencies that depend on its share.
+// observe passes latencies that depend on the share to the governor.
 func observe(g *Governor, from time.Time, span time.Duration, latency func(share float64) time.Duration) time.Time {
 	now := from
 	for ; now.Before(from.Add(span)); now = now.Add(20 * time.Millisecond) {
@@ -84,11 +84,11 @@
 	return now
 }
 
-func TestTransfersGiveWayWhileItHelps(t *testing.T) {
+func TestShareDecreasesWhileLatencyImproves(t *testing.T) {
 	g := NewGovernor()
 	now := observe(g, start, time.Second, func(float64) time.Duration { return 100 * time.Millisecond })
 	require.Equal(t, 1.0, g.Share())
-	// Transfers at full share make live requests slow; at a smaller one less so.
+	// Live latency is proportional to the transfers' share.
 	caused := func(share float64) time.Duration { return time.Duration(share * float64(300*time.Millisecond)) }
 	least := 1.0
 	for range 50 {
@@ -97,24 +97,24 @@
 	}
 	require.Less(t, least, 0.6)
 	observe(g, now, time.Minute, func(float64) time.Duration { return 100 * time.Millisecond })
-	require.Equal(t, 1.0, g.Share(), "the share must come back")
+	require.Equal(t, 1.0, g.Share(), "the share must recover")
 }
 
-func TestTransfersKeepTheirShareWhenGivingWayDoesNotHelp(t *testing.T) {
+func TestShareIsRestoredAfterDecreaseWithoutEffect(t *testing.T) {
 	g := NewGovernor()
 	now := observe(g, start, time.Second, func(float64) time.Duration { return 100 * time.Millisecond })
 	low := 0
-	for range 100 { // the engine is slow, whatever transfers do
+	for range 100 { // the engine is slow at any share
 		now = observe(g, now, 100*time.Millisecond, func(float64) time.Duration { return 400 * time.Millisecond })
 		if g.Share() < 1 {
 			low++
 		}
 	}
-	require.Positive(t, low, "it must be tried")
-	require.Less(t, low, 30, "and given up")
+	require.Positive(t, low, "a decrease must be tried")
+	require.Less(t, low, 30, "a decrease without effect must be undone")
 }
 
-func TestLinkReleasesCancelledTakers(t *testing.T) {
+func TestLinkReleasesCancelledWaiters(t *testing.T) {
 	l := NewLink(1, 0, time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	require.NoError(t, l.Up(ctx, Transfer, 10))
