--- a/internal/weights/swarm/step.go
+++ b/internal/weights/swarm/step.go
@@ -8,8 +8,8 @@
 const (
 	// averageWeight is the weight of a new duration in the moving average.
 	averageWeight = 0.1
-	// goodPerStrike verified chunks cancel one strike.
-	goodPerStrike = 32
+	// verifiedPerStrike verified chunks cancel one strike.
+	verifiedPerStrike = 32
 	// firstBackoff is the backoff after a failed request. It doubles with each
 	// consecutive failed or stalled request, up to maxBackoff.
 	firstBackoff = 100 * time.Millisecond
@@ -281,7 +281,7 @@
 		p.failures = 0
 		p.unhealthy = time.Time{}
 		p.verified++
-		if p.verified >= goodPerStrike && p.strikes > 0 {
+		if p.verified >= verifiedPerStrike && p.strikes > 0 {
 			p.verified = 0
 			p.strikes--
 		}
