--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the client of a model engine's published HTTP protocol:
-// orders (load, unload), the state it reports and its cache events. It keeps
-// no state of its own; the agent decides which orders to give.
+// Package engine is a client for the HTTP API of a model engine: load and
+// unload orders, the engine's state and its cache events. The client is
+// stateless; the agent decides which orders to give.
 package engine
 
 import (
@@ -13,17 +13,17 @@
 	"strconv"
 )
 
-// Phases of an engine as it reports them.
+// Values of State.State.
 const (
 	StateEmpty   = "empty"
 	StateLoading = "loading"
 	StateLive    = "live"
 )
 
-// maxAnswerBytes bounds what is read of an engine's answer to an order.
+// maxAnswerBytes limits how much of an engine's response body is read.
 const maxAnswerBytes = 1 << 20
 
-// State is what an engine reports of itself. Load lags behind the truth.
+// State is the state that an engine reports. Load lags behind the actual load.
 type State struct {
 	State       string  `json:"state"`
 	Model       string  `json:"model"`
@@ -37,8 +37,8 @@
 	Fence       uint64  `json:"fence"`
 }
 
-// LoadOrder asks the engine to serve the weights file at Path instead of
-// what it holds.
+// LoadOrder asks the engine to load the weights file at Path in place of the
+// weights that it serves now.
 type LoadOrder struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
@@ -46,25 +46,25 @@
 	Fence   uint64 `json:"fence"`
 }
 
-// CacheEvent says that a prompt prefix was cached or evicted.
+// CacheEvent reports that a prompt prefix was cached or evicted.
 type CacheEvent struct {
 	Seq        uint64 `json:"seq"`
 	PrefixHash uint64 `json:"prefix_hash"`
 	Evicted    bool   `json:"evicted"`
 }
 
-// StaleFenceError is the engine's refusal of an order with an old fencing
-// number.
+// StaleFenceError is returned when the engine refuses an order because its
+// fencing token is stale.
 type StaleFenceError struct {
 	Ordered, Current uint64
 }
 
 // Error implements error.
 func (e *StaleFenceError) Error() string {
-	return fmt.Sprintf("engine refused fencing number %d, it follows %d", e.Ordered, e.Current)
+	return fmt.Sprintf("engine refused fencing token %d, its current token is %d", e.Ordered, e.Current)
 }
 
-// StatusError is any other refusal by the engine.
+// StatusError is returned for any other response status than 200.
 type StatusError struct {
 	Status  int
 	Message string
@@ -75,7 +75,7 @@
 	return fmt.Sprintf("engine answered %d: %s", e.Status, e.Message)
 }
 
-// Client talks to the engine at one loopback address.
+// Client sends requests to one engine on a loopback address.
 type Client struct {
 	base string
 	http *http.Client
@@ -86,15 +86,15 @@
 	return &Client{base: "http://" + addr, http: &http.Client{}}
 }
 
-// State asks the engine for its state.
+// State returns the state that the engine reports.
 func (c *Client) State(ctx context.Context) (State, error) {
 	var s State
 	err := c.get(ctx, "/engine/state", &s)
 	return s, err
 }
 
-// CacheEvents returns cache events after since, as far as the engine still
-// has them.
+// CacheEvents returns the cache events with a sequence number above since that
+// the engine still keeps.
 func (c *Client) CacheEvents(ctx context.Context, since uint64) ([]CacheEvent, error) {
 	var answer struct {
 		Events []CacheEvent `json:"events"`
@@ -104,12 +104,12 @@
 	return answer.Events, err
 }
 
-// Load orders the engine to load and waits until it has answered.
+// Load orders the engine to load weights and waits for its response.
 func (c *Client) Load(ctx context.Context, order LoadOrder) error {
 	return c.order(ctx, "/engine/load", order, order.Fence)
 }
 
-// Unload orders the engine to drop what it holds.
+// Unload orders the engine to unload its weights.
 func (c *Client) Unload(ctx context.Context, fence uint64) error {
 	body := struct {
 		Fence uint64 `json:"fence"`
--- a/internal/engine/prefix.go
+++ b/internal/engine/prefix.go
@@ -7,13 +7,13 @@
 	"lukechampine.com/blake3"
 )
 
-// Prompt prefixes are cached in blocks. The engine's protocol names a block by
-// a hash of its words and of all blocks before it.
+// Engines cache prompt prefixes in blocks and identify a block by a hash of its
+// words and of all blocks before it.
 const (
-	// PrefixBlockWords is how many words make a block.
+	// PrefixBlockWords is the number of words in a block.
 	PrefixBlockWords = 16
-	// PrefixBlocks is how many blocks are taken for the prefix that requests
-	// have in common: a template is as long as that.
+	// PrefixBlocks is the number of blocks in the prefix that requests share,
+	// which is the typical length of a prompt template.
 	PrefixBlocks = 4
 )
 
@@ -23,7 +23,8 @@
 	Content string `json:"content"`
 }
 
-// ChatPrompt is the text that an engine reads of a chat request.
+// ChatPrompt returns the prompt text that an engine derives from the messages
+// of a chat request.
 func ChatPrompt(messages []Message) string {
 	lines := make([]string, len(messages))
 	for i, m := range messages {
@@ -32,8 +33,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// PrefixHash returns the name of the prompt's prefix of PrefixBlocks blocks, or
-// of as many whole blocks as it has, as in CacheEvent; 0 for none.
+// PrefixHash returns the hash of the prompt's first PrefixBlocks blocks, or of
+// its whole blocks if it has fewer; 0 if it has none. The hash matches
+// CacheEvent.PrefixHash.
 func PrefixHash(prompt string) uint64 {
 	words := strings.Fields(prompt)
 	var hash uint64
@@ -44,8 +46,8 @@
 	return hash
 }
 
-// blockHash is the first 8 bytes of BLAKE3 over the hash of the block before
-// and each word with a zero byte after it; numbers are big-endian.
+// blockHash returns the first 8 bytes of BLAKE3 over the hash of the previous
+// block and each word followed by a zero byte; numbers are big-endian.
 func blockHash(before uint64, words []string) uint64 {
 	input := binary.BigEndian.AppendUint64(nil, before)
 	for _, word := range words {
--- a/internal/engine/prefix_test.go
+++ b/internal/engine/prefix_test.go
@@ -18,9 +18,9 @@
 	standin "lynxgate.dev/lynxgate/internal/standin/engine"
 )
 
-// TestPrefixHashIsTheEngines asks a fake engine with a long prompt and finds
-// the prefix among its cache events.
-func TestPrefixHashIsTheEngines(t *testing.T) {
+// The hash of a long prompt must appear in the cache events of a fake engine
+// that has served it.
+func TestPrefixHashMatchesEngineCacheEvents(t *testing.T) {
 	fake := standin.New(standin.Config{})
 	defer fake.Close()
 	server := httptest.NewServer(fake)
@@ -52,7 +52,7 @@
 	}, 30*time.Second, 10*time.Millisecond)
 }
 
-func TestPrefixHashDependsOnThePrefixOnly(t *testing.T) {
+func TestPrefixHashDependsOnlyOnPrefix(t *testing.T) {
 	words := strings.Fields(strings.Repeat("a b c d ", 20))
 	prefix := strings.Join(words[:64], " ")
 	require.Equal(t, engine.PrefixHash(prefix+" one end"), engine.PrefixHash(prefix+" another end"))
