--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,13 +1,13 @@
-// Package agent runs beside one backend server and stands for it: it
-// announces it to the control servers, brings the assigned model versions
-// onto the VM, orders the engine to load them, and answers the entries'
-// requests from it.
+// Package agent runs on the VM of one backend server and acts as its proxy: it
+// announces the server to the control servers, downloads the assigned model
+// versions to the VM, orders the engine to load them, and forwards requests
+// from entries to the server.
 //
-// State: one control loop owns the order machine and the assignment followed;
-// the gate (which version is served, requests in progress) is shared with the
-// traffic goroutines. Messages: rpc.Dispatch to entries, rpc.Control to the
-// control servers, rpc.Weights between agents (internal/weights/transfer),
-// HTTP to the backend server.
+// State: one control loop owns the order machine and the current assignment;
+// the gate (version served, requests in progress) is shared with the
+// goroutines that handle requests. Messages: rpc.Dispatch to entries,
+// rpc.Control to the control servers, rpc.Weights between agents
+// (internal/weights/transfer), HTTP to the backend server.
 package agent
 
 import (
@@ -31,51 +31,53 @@
 
 // Config of an Agent.
 type Config struct {
-	// VM and Zone name the machine the agent stands on.
+	// VM and Zone are the names of the VM that the agent runs on and of its
+	// availability zone.
 	VM   string
 	Zone string
 	// Addr and AdminAddr are the agent's drpc and HTTP addresses.
 	Addr      string
 	AdminAddr string
-	// Service and Kind of the backend server at BackendAddr.
+	// Service and Kind describe the backend server at BackendAddr.
 	Service     string
 	Kind        inventory.ServiceKind
 	BackendAddr string
-	// ChecksFencing is true where the engine refuses old fencing numbers.
+	// ChecksFencing is true if the engine refuses stale fencing tokens.
 	ChecksFencing bool
-	// LoadTimeout is the longest an order may take at the engine.
+	// LoadTimeout limits the time that an engine takes to execute an order.
 	LoadTimeout time.Duration
-	// Capacity is how many model replicas the VM can hold.
+	// Capacity is the number of model replicas that the VM can store.
 	Capacity int
-	// ScratchDir holds staged weights and the order journal.
+	// ScratchDir is the directory of the staged weights and the order journal.
 	ScratchDir string
-	// Incarnation rises with every start of the agent.
+	// Incarnation increases with every start of the agent.
 	Incarnation uint64
-	// AnnounceInterval is the longest time between two announcements.
+	// AnnounceInterval is the maximum time between two announcements.
 	AnnounceInterval time.Duration
 	Logger           zerolog.Logger
 	Registerer       prometheus.Registerer
 }
 
 const (
-	// tickInterval is how often the control loop runs without an event.
+	// tickInterval is the period of the control loop's tick event.
 	tickInterval = time.Second
-	// leaveAnnounceTimeout bounds telling the control servers of leaving.
+	// leaveAnnounceTimeout limits the announcement that the agent leaves.
 	leaveAnnounceTimeout = 3 * time.Second
-	// orderMargin is added to the load timeout when waiting for an answer.
+	// orderMargin is added to LoadTimeout when waiting for the engine's
+	// response to an order.
 	orderMargin = 5 * time.Second
-	// queryTimeout bounds asking the engine for its state.
+	// queryTimeout limits requests for the engine's state and cache events.
 	queryTimeout = 5 * time.Second
 )
 
-// Feed is the configuration in force here; configfeed.Client implements it.
+// Feed provides the configuration in force; configfeed.Client implements it.
 type Feed interface {
 	View() *keyspace.View
 	Changed() <-chan struct{}
 	Unconfirmed() bool
 }
 
-// Transfers brings model versions onto this VM; transfer.Manager implements it.
+// Transfers downloads model versions to this VM; transfer.Manager implements it.
 type Transfers interface {
 	SetWanted(wanted []transfer.Wanted)
 	Status() []transfer.Progress
@@ -84,7 +86,7 @@
 	SpendLive(up, down int)
 }
 
-// Agent stands for one backend server. Create it with New.
+// Agent is the proxy of one backend server. Create it with New.
 type Agent struct {
 	rpc.DRPCDispatchUnimplementedServer
 
@@ -101,12 +103,12 @@
 	incarnation uint64
 	stateSeq    atomic.Uint64
 
-	// report is what the backend server last reported of itself.
+	// report is the last report from the backend server.
 	report atomic.Pointer[report]
-	// staged are the weights verified on this VM.
+	// staged contains the verified weights on this VM.
 	staged atomic.Pointer[map[orders.Ref]orders.Weights]
 
-	// replicas are reported with every announcement.
+	// replicas are the reports sent with every announcement.
 	replicas atomic.Pointer[[]*rpc.ReplicaReport]
 
 	announcer    *controlclient.Announcer
@@ -117,7 +119,7 @@
 func New(cfg Config, feed Feed, control *controlclient.Client, transfers Transfers) (*Agent, error) {
 	if cfg.ScratchDir != "" {
 		if err := os.MkdirAll(cfg.ScratchDir, 0o755); err != nil {
-			return nil, fmt.Errorf("scratch folder: %w", err)
+			return nil, fmt.Errorf("create scratch directory: %w", err)
 		}
 	}
 	a := &Agent{
@@ -150,8 +152,8 @@
 
 func (a *Agent) plain() bool { return a.cfg.Kind == inventory.KindPlain }
 
-// Leave announces that the agent leaves, refuses new requests at once and
-// waits until those in progress have ended or ctx is done.
+// Leave refuses new requests, announces that the agent leaves, and waits until
+// the requests in progress have ended or ctx is done.
 func (a *Agent) Leave(ctx context.Context) error {
 	a.gate.setLeaving()
 	a.requestLeave()
@@ -165,21 +167,21 @@
 	}
 }
 
-// announceLeaving tells the control servers, so that they replace the replica
-// now and not when the lease ends. Entries hear of it on their watches.
+// announceLeaving notifies the control servers, so that they replace the
+// replica before its lease expires. Entries are notified through Watch.
 func (a *Agent) announceLeaving(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveAnnounceTimeout)
 	defer cancel()
 	if err := a.announcer.AnnounceNow(ctx); err != nil {
-		a.log.Warn().Err(err).Msg("leaving could not be announced; the lease will end by itself")
+		a.log.Warn().Err(err).Msg("announcing that the agent leaves failed; the lease will expire")
 	}
 }
 
 // superseded is called when another process has announced itself as this VM
-// with a newer incarnation: this one takes no new requests any more.
+// with a newer incarnation. The agent then accepts no new requests.
 func (a *Agent) superseded(known uint64) {
 	if !a.gate.state().leaving {
-		a.log.Error().Uint64("known_incarnation", known).Msg("another agent runs for this VM, leaving")
+		a.log.Error().Uint64("known_incarnation", known).Msg("a newer agent runs for this VM; leaving")
 	}
 	a.gate.setLeaving()
 	a.requestLeave()
@@ -192,7 +194,8 @@
 	}
 }
 
-// Ready reports whether the agent has a configuration; ok is false before.
+// Ready reports whether the agent has received a configuration, and a reason
+// if it has not.
 func (a *Agent) Ready() (reason string, ok bool) {
 	if a.feed.View().Revision() == 0 {
 		return "no configuration received yet", false
--- a/internal/agent/announce.go
+++ b/internal/agent/announce.go
@@ -6,7 +6,7 @@
 	"lynxgate.dev/lynxgate/internal/weights/transfer"
 )
 
-// Phases of a replica as reported to the control servers.
+// Values of rpc.ReplicaReport.Phase.
 const (
 	phaseFetching = "fetching"
 	phaseStaged   = "staged"
@@ -34,7 +34,8 @@
 	}
 }
 
-// replicaReports describes every wanted or served version.
+// replicaReports returns a report on every wanted version and on the version
+// being served.
 func (l *loop) replicaReports() []*rpc.ReplicaReport {
 	var reports []*rpc.ReplicaReport
 	serving := l.machine.Serving()
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -22,24 +22,25 @@
 	headerWeightsDigest = "X-Weights-Digest"
 )
 
-// backend is the HTTP client of the backend server beside the agent. Calls
-// are never repeated by the transport: net/http repeats a call with an
-// Idempotency-Key, or a GET, when a reused connection breaks, unless its body
-// can't be rewound. A plain service also gets a connection of its own per
-// call, so that one closed while idle makes no call unknown.
+// backend is the HTTP client of the agent's backend server. It prevents
+// net/http from retrying by itself: when a reused connection breaks, net/http
+// repeats a GET or a request with an Idempotency-Key unless its body cannot be
+// rewound. Each request to a plain service uses a new connection, because a
+// connection that the server closes while idle would leave the outcome of the
+// next request unknown.
 type backend struct {
 	base   string
 	client *http.Client
 }
 
 const (
-	// idleConns is how many unused connections to an engine are kept, each for
-	// idleConnTimeout; not measured.
+	// idleConns is the maximum number of idle connections to an engine; each
+	// is closed after idleConnTimeout.
 	idleConns       = 64
 	idleConnTimeout = 30 * time.Second
-	// reachTimeout bounds the try to connect to a backend server, which is on the own
+	// dialTimeout limits dialling the backend server, which runs on the same
 	// machine.
-	reachTimeout = time.Second
+	dialTimeout = time.Second
 )
 
 func newBackend(addr string, plain bool) *backend {
@@ -58,7 +59,7 @@
 
 // reachable reports whether the backend server accepts connections.
 func (b *backend) reachable(ctx context.Context) bool {
-	dialer := net.Dialer{Timeout: reachTimeout}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", strings.TrimPrefix(b.base, "http://"))
 	if err != nil {
 		return false
@@ -67,8 +68,8 @@
 	return true
 }
 
-// do sends the request. A *notSentError says that the backend server cannot
-// have seen it; any other error leaves that open.
+// do sends the request. It returns a *notSentError if the backend server
+// cannot have received the request; after any other error it may have.
 func (b *backend) do(ctx context.Context, in *rpc.RunRequest) (*http.Response, error) {
 	req, err := b.request(ctx, in)
 	if err != nil {
@@ -100,19 +101,20 @@
 	return req, nil
 }
 
-// onceReader hides that a body could be rewound, or is empty.
+// onceReader hides the type of a body from net/http, which would otherwise
+// detect that the body is empty or can be rewound.
 type onceReader struct{ io.Reader }
 
-// notSentError says that a request never left the agent.
+// notSentError reports that a request was not sent to the backend server.
 type notSentError struct{ err error }
 
 func (e *notSentError) Error() string { return "not sent: " + e.err.Error() }
 func (e *notSentError) Unwrap() error { return e.err }
 
-// withheldHeaders of a backend server's answer are not passed on.
+// withheldHeaders are the response headers that are not forwarded.
 var withheldHeaders = map[string]bool{
-	// The entry's own answer has a date.
+	// The entry's response to the caller has its own Date.
 	"Date": true,
-	// The entry gives the caller the request's own id.
+	// The entry sets the request ID in its response to the caller.
 	headerRequestID: true,
 }
--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -16,37 +16,37 @@
 )
 
 const (
-	// pieceBytes is the most answer data sent in one frame.
-	pieceBytes = 32 << 10
-	// firstPieceBytes is the buffer that an answer begins with; most streams
-	// never fill it.
-	firstPieceBytes = 2 << 10
+	// bufferBytes is the maximum response data in one frame.
+	bufferBytes = 32 << 10
+	// firstBufferBytes is the size of the buffer that every response starts
+	// with; most streamed responses never fill it.
+	firstBufferBytes = 2 << 10
 )
 
-// firstPieces and pieces hold buffers for reuse: a frame is encoded before Send
-// returns.
+// firstBuffers and buffers pool the read buffers. Reuse is safe because a frame
+// is encoded before Send returns.
 var (
-	firstPieces = sync.Pool{New: func() any { return new([firstPieceBytes]byte) }}
-	pieces      = sync.Pool{New: func() any { return new([pieceBytes]byte) }}
+	firstBuffers = sync.Pool{New: func() any { return new([firstBufferBytes]byte) }}
+	buffers      = sync.Pool{New: func() any { return new([bufferBytes]byte) }}
 )
 
 // Run implements rpc.DRPCDispatchServer: it forwards one request to the
-// backend server and sends the answer back as frames. A request that did not
-// reach the backend server ends with FRAME_NOT_RUN; one whose answer was cut
-// ends with FRAME_UNKNOWN.
+// backend server and returns the response as frames. The last frame is
+// FRAME_NOT_RUN if the backend server did not run the request, and
+// FRAME_UNKNOWN if it may have run but there is no complete response.
 func (a *Agent) Run(in *rpc.RunRequest, stream rpc.DRPCDispatch_RunStream) error {
 	w := &sender{frames: frames.NewWriter(in.RequestId), stream: stream, gate: a.gate}
 	if in.Service != a.cfg.Service {
 		return a.notRun(w, outcome.NotFound, 0)
 	}
-	if reason := a.gate.enter(orders.Ref{Model: in.Model, Version: in.Version}); reason != admitted {
+	if reason := a.gate.admit(orders.Ref{Model: in.Model, Version: in.Version}); reason != admitted {
 		return a.notRun(w, reason, 0)
 	}
-	defer a.gate.leave()
+	defer a.gate.done()
 	if wait, ok := a.limiter.admit(time.Now()); !ok {
 		return a.notRun(w, outcome.Overloaded, wait)
 	}
-	a.spendLive(0, len(in.Body))
+	a.countTraffic(0, len(in.Body))
 	ctx, cancel := context.WithTimeout(stream.Context(), time.Duration(in.DeadlineMs)*time.Millisecond)
 	defer cancel()
 	return a.forward(ctx, in, w)
@@ -62,15 +62,15 @@
 	return w.send(w.frames.Fail(outcome.May(reason, "")))
 }
 
-// sender numbers the frames of one answer and sends them.
+// sender numbers and sends the frames of one response.
 type sender struct {
 	frames *frames.Writer
 	stream rpc.DRPCDispatch_RunStream
 	gate   *gate
 }
 
-// send sends a frame. All but those with data bring the entry a fresh count
-// of the requests in progress.
+// send sends a frame. Every frame but FRAME_DATA contains the current number of
+// requests in progress.
 func (w *sender) send(f *rpc.ResponseFrame) error {
 	if f.Kind != rpc.FrameKind_FRAME_DATA {
 		f.InFlight = uint32(w.gate.state().inFlight)
@@ -84,16 +84,16 @@
 	var notSent *notSentError
 	switch {
 	case errors.As(err, &notSent):
-		a.backendEnded()
+		a.clearBackendLeaving()
 		return a.notRun(w, outcome.BackendRefused, 0)
 	case err != nil:
 		return a.unknown(w, unknownReason(ctx))
 	}
 	defer resp.Body.Close()
 	now := time.Now()
-	a.limiter.hear(now, started, resp)
-	backoff := a.limiter.hearBackoff(now, resp)
-	a.hearLeaving(resp)
+	a.limiter.observeLimit(now, started, resp)
+	backoff := a.limiter.observeBackoff(now, resp)
+	a.observeLeaving(resp)
 	if a.refusedByEngine(resp) {
 		return a.notRun(w, outcome.BackendRefused, backoff)
 	}
@@ -108,8 +108,8 @@
 	return a.stream(ctx, resp, w, started)
 }
 
-// refusedByEngine reports whether an engine said that it took no work. The
-// same status of a plain service is its answer.
+// refusedByEngine reports whether an engine refused the request. The same
+// status codes from a plain service are a response for the caller.
 func (a *Agent) refusedByEngine(resp *http.Response) bool {
 	if a.plain() {
 		return false
@@ -117,8 +117,8 @@
 	return resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
 }
 
-// fromServedWeights checks the weights digest that an engine states with an
-// answer, if it does, against the verified digest of the pinned version.
+// fromServedWeights compares the weights digest in an engine's response, if
+// present, with the verified digest of the pinned version.
 func (a *Agent) fromServedWeights(in *rpc.RunRequest, resp *http.Response) bool {
 	stated := resp.Header.Get(headerWeightsDigest)
 	if stated == "" || a.plain() {
@@ -130,25 +130,25 @@
 }
 
 func (a *Agent) stream(ctx context.Context, resp *http.Response, w *sender, started time.Time) error {
-	small := firstPieces.Get().(*[firstPieceBytes]byte)
-	defer firstPieces.Put(small)
+	small := firstBuffers.Get().(*[firstBufferBytes]byte)
+	defer firstBuffers.Put(small)
 	buf := small[:]
 	first := true
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
 			if first {
-				a.observeFirst(time.Since(started))
+				a.observeFirstByte(time.Since(started))
 				first = false
 			}
-			a.spendLive(n, 0)
+			a.countTraffic(n, 0)
 			if err := w.send(w.frames.Data(buf[:n])); err != nil {
 				return err
 			}
 		}
-		if n == len(buf) && n == firstPieceBytes {
-			large := pieces.Get().(*[pieceBytes]byte)
-			defer pieces.Put(large)
+		if n == len(buf) && n == firstBufferBytes {
+			large := buffers.Get().(*[bufferBytes]byte)
+			defer buffers.Put(large)
 			buf = large[:]
 		}
 		if errors.Is(err, io.EOF) {
@@ -161,7 +161,7 @@
 	}
 }
 
-// unknownReason tells a deadline from a backend server that failed.
+// unknownReason distinguishes an expired deadline from a failed backend server.
 func unknownReason(ctx context.Context) outcome.Reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return outcome.DeadlineExceeded
@@ -169,15 +169,15 @@
 	return outcome.AnswerCut
 }
 
-// spendLive counts bytes of requests on the VM's link, so that transfers make
-// room for them.
-func (a *Agent) spendLive(up, down int) {
+// countTraffic subtracts request and response bytes from the bandwidth that weight
+// transfers may use on the VM's link.
+func (a *Agent) countTraffic(up, down int) {
 	if a.transfers != nil {
 		a.transfers.SpendLive(up, down)
 	}
 }
 
-func (a *Agent) observeFirst(d time.Duration) {
+func (a *Agent) observeFirstByte(d time.Duration) {
 	a.metrics.firstByte.Observe(d.Seconds())
 	if a.transfers != nil {
 		a.transfers.ObserveLive(d)
--- a/internal/agent/dispatch_test.go
+++ b/internal/agent/dispatch_test.go
@@ -18,12 +18,13 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// keyed is a header that makes net/http repeat a call by itself, unless it is
-// kept from doing so.
-var keyed = &rpc.Header{Name: "Idempotency-Key", Value: "k"}
+// idempotencyKey is a header that makes net/http retry a request by itself unless
+// that is prevented.
+var idempotencyKey = &rpc.Header{Name: "Idempotency-Key", Value: "k"}
 
-// rawServer counts the requests it reads. It answers as long as answers are
-// left, keeping connections open, and then closes the connection instead.
+// rawServer counts the requests that it reads. It answers the given number of
+// requests with keep-alive, and closes the connection without an answer to
+// every later one.
 func rawServer(t *testing.T, answers int64) (addr string, requests *atomic.Int64) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -56,17 +57,17 @@
 	return lis.Addr().String(), requests
 }
 
-// A backend server that dies after it took a call may have run it, and the
-// call reaches it once, also where net/http would send it again.
+// A backend server that closes the connection after it has received a request
+// may have run it, and net/http must not send the request again.
 func TestCallWithoutAnswerIsUnknownAndNotRepeated(t *testing.T) {
 	for _, kind := range []inventory.ServiceKind{inventory.KindPlain, inventory.KindModel} {
 		for _, method := range []string{http.MethodGet, http.MethodPost} {
 			t.Run(string(kind)+method, func(t *testing.T) {
 				addr, requests := rawServer(t, 1)
-				b := newBed(t, kind, addr)
+				b := newTestbed(t, kind, addr)
 				b.agent.gate.serve(v1)
 				for i := range 2 {
-					in := request(v1, keyed)
+					in := request(v1, idempotencyKey)
 					in.Method = method
 					if method == http.MethodGet {
 						in.Body = nil
@@ -81,8 +82,8 @@
 	}
 }
 
-// Not run is said only of what certainly did not run.
-func TestWhatDidNotRun(t *testing.T) {
+// FRAME_NOT_RUN is sent only if the backend server cannot have run the request.
+func TestNotRunOnlyIfBackendServerCannotHaveRun(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, closed.Close())
@@ -105,7 +106,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBed(t, c.kind, c.backend(t))
+			b := newTestbed(t, c.kind, c.backend(t))
 			b.agent.gate.serve(v1)
 			got := last(b.run(request(v1)))
 			require.Equal(t, c.want, got.Kind)
@@ -114,14 +115,14 @@
 	}
 }
 
-// An answer that breaks off has no end mark.
+// The outcome is unknown if the connection breaks within a response.
 func TestCutAnswerIsUnknown(t *testing.T) {
 	addr := backendServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("part"))
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	})
-	b := newBed(t, inventory.KindModel, addr)
+	b := newTestbed(t, inventory.KindModel, addr)
 	b.agent.gate.serve(v1)
 	frames := b.run(request(v1))
 	require.Equal(t, rpc.FrameKind_FRAME_UNKNOWN, last(frames).Kind)
@@ -129,16 +130,16 @@
 	require.Equal(t, []byte("part"), frames[1].Data)
 }
 
-// The engine states which weights answer; others than those pinned are
-// withheld whole.
-func TestAnswerOfOtherWeightsIsWithheld(t *testing.T) {
+// A response is withheld if its weights digest is not that of the pinned
+// version.
+func TestResponseFromOtherWeightsIsWithheld(t *testing.T) {
 	for _, stated := range []string{"", "right", "wrong"} {
 		t.Run("digest "+stated, func(t *testing.T) {
 			addr := backendServer(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set(headerWeightsDigest, stated)
 				_, _ = w.Write([]byte("answer"))
 			})
-			b := newBed(t, inventory.KindModel, addr)
+			b := newTestbed(t, inventory.KindModel, addr)
 			b.agent.staged.Store(&map[orders.Ref]orders.Weights{v1: {Digest: "right"}})
 			b.agent.gate.serve(v1)
 			frames := b.run(request(v1))
@@ -153,13 +154,13 @@
 	}
 }
 
-func TestDeadlineEndsTheCall(t *testing.T) {
+func TestDeadlineCancelsCall(t *testing.T) {
 	ended := make(chan struct{})
 	addr := backendServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(ended)
 	})
-	b := newBed(t, inventory.KindModel, addr)
+	b := newTestbed(t, inventory.KindModel, addr)
 	b.agent.gate.serve(v1)
 	in := request(v1)
 	in.DeadlineMs = 50
@@ -170,14 +171,14 @@
 }
 
 // An entry that closes the stream cancels the call at the backend server.
-func TestCancelReachesTheBackendServer(t *testing.T) {
+func TestCancelReachesBackendServer(t *testing.T) {
 	begun, ended := make(chan struct{}), make(chan struct{})
 	addr := backendServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(begun)
 		<-r.Context().Done()
 		close(ended)
 	})
-	b := newBed(t, inventory.KindModel, addr)
+	b := newTestbed(t, inventory.KindModel, addr)
 	b.agent.gate.serve(v1)
 	ctx, cancel := context.WithCancel(context.Background())
 	b.open(ctx, request(v1))
@@ -185,8 +186,8 @@
 	cancel()
 	select {
 	case <-ended:
-	case <-time.After(patience):
-		t.Fatal("the backend server still works")
+	case <-time.After(waitTimeout):
+		t.Fatal("the request to the backend server was not cancelled")
 	}
-	require.Eventually(t, func() bool { return b.agent.gate.state().inFlight == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return b.agent.gate.state().inFlight == 0 }, waitTimeout, time.Millisecond)
 }
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -7,36 +7,38 @@
 	"lynxgate.dev/lynxgate/internal/outcome"
 )
 
-// gate admits requests to the backend server while it serves the version
-// that a request is pinned to, and counts those in progress. It is shared by
-// the control loop, which opens and closes it, and the traffic goroutines.
+// gate admits a request if the backend server serves the version that the
+// request is pinned to, and counts the requests in progress. The control loop
+// opens and closes it; the goroutines that handle requests use it concurrently.
 type gate struct {
 	mu      sync.Mutex
 	open    bool
 	leaving bool
-	// backendLeaves: the backend server has said that it takes no new requests.
-	backendLeaves bool
-	ref           orders.Ref
-	inFlight      int
-	// idle is closed and replaced whenever inFlight falls to zero.
+	// backendLeaving is true if the backend server signals that it takes no new
+	// requests.
+	backendLeaving bool
+	ref            orders.Ref
+	inFlight       int
+	// idle is closed and replaced whenever inFlight drops to zero.
 	idle chan struct{}
-	// changed receives a signal when what the gate admits has changed.
+	// changed is called when the gate opens or closes, or when one of the
+	// leaving flags changes.
 	changed func()
 }
 
-// admitted is the empty reason of a request that was let in.
+// admitted is returned by gate.admit in place of a reason for refusal.
 const admitted outcome.Reason = ""
 
 func newGate(changed func()) *gate {
 	return &gate{idle: make(chan struct{}), changed: changed}
 }
 
-// enter admits a request pinned to ref, or returns the reason why not.
-// Whoever was admitted calls leave.
-func (g *gate) enter(ref orders.Ref) outcome.Reason {
+// admit admits a request pinned to ref, or returns the reason for refusal.
+// The caller must call done once for every admitted request.
+func (g *gate) admit(ref orders.Ref) outcome.Reason {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.leaving || g.backendLeaves {
+	if g.leaving || g.backendLeaving {
 		return outcome.Leaving
 	}
 	if !g.open || g.ref != ref {
@@ -46,8 +48,8 @@
 	return admitted
 }
 
-// leave ends a request admitted by enter.
-func (g *gate) leave() {
+// done records the end of a request admitted by admit.
+func (g *gate) done() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight--
@@ -68,7 +70,7 @@
 	g.changed()
 }
 
-// stop refuses new requests; those in progress go on.
+// stop refuses new requests; those in progress continue.
 func (g *gate) stop() {
 	g.mu.Lock()
 	g.open = false
@@ -76,7 +78,7 @@
 	g.changed()
 }
 
-// setLeaving refuses all new requests for good.
+// setLeaving refuses all new requests permanently.
 func (g *gate) setLeaving() {
 	g.mu.Lock()
 	g.leaving = true
@@ -84,12 +86,12 @@
 	g.changed()
 }
 
-// setBackendLeaves refuses new requests, or takes them again, and tells whether that is a
-// change.
-func (g *gate) setBackendLeaves(leaves bool) bool {
+// setBackendLeaving sets whether new requests are refused because the backend
+// server leaves, and reports whether the value changed.
+func (g *gate) setBackendLeaving(leaves bool) bool {
 	g.mu.Lock()
-	was := g.backendLeaves
-	g.backendLeaves = leaves
+	was := g.backendLeaving
+	g.backendLeaving = leaves
 	g.mu.Unlock()
 	if was != leaves {
 		g.changed()
@@ -109,17 +111,17 @@
 	return done
 }
 
-// gateState is a copy of what the gate admits.
+// gateState is a snapshot of the gate.
 type gateState struct {
-	open          bool
-	leaving       bool
-	backendLeaves bool
-	ref           orders.Ref
-	inFlight      int
+	open           bool
+	leaving        bool
+	backendLeaving bool
+	ref            orders.Ref
+	inFlight       int
 }
 
 func (g *gate) state() gateState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return gateState{open: g.open, leaving: g.leaving, backendLeaves: g.backendLeaves, ref: g.ref, inFlight: g.inFlight}
+	return gateState{open: g.open, leaving: g.leaving, backendLeaving: g.backendLeaving, ref: g.ref, inFlight: g.inFlight}
 }
--- a/internal/agent/gate_test.go
+++ b/internal/agent/gate_test.go
@@ -12,18 +12,18 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// held is a backend server that answers when it is let go.
-func held(t *testing.T) (addr string, begun, letGo chan struct{}) {
-	begun, letGo = make(chan struct{}, 8), make(chan struct{})
+// blockingBackend starts a backend server that answers requests once unblock is closed.
+func blockingBackend(t *testing.T) (addr string, begun, unblock chan struct{}) {
+	begun, unblock = make(chan struct{}, 8), make(chan struct{})
 	addr = backendServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		begun <- struct{}{}
-		<-letGo
+		<-unblock
 		_, _ = w.Write([]byte("whole"))
 	})
-	return addr, begun, letGo
+	return addr, begun, unblock
 }
 
-func (b *bed) requireRefused(in *rpc.RunRequest, reason outcome.Reason) {
+func (b *testbed) requireRefused(in *rpc.RunRequest, reason outcome.Reason) {
 	b.t.Helper()
 	frames := b.run(in)
 	require.Len(b.t, frames, 1)
@@ -40,11 +40,11 @@
 	}
 }
 
-// A swap lets the requests in progress end on the old version before it is
-// drained, and takes none but those pinned to what is served.
-func TestSwapKeepsVersionsApart(t *testing.T) {
-	addr, begun, letGo := held(t)
-	b := newBed(t, inventory.KindModel, addr)
+// During a swap, requests in progress finish on the old version before it is
+// drained, and only requests pinned to the served version are admitted.
+func TestSwapDrainsOldVersion(t *testing.T) {
+	addr, begun, unblock := blockingBackend(t)
+	b := newTestbed(t, inventory.KindModel, addr)
 	b.requireRefused(request(v1), outcome.VersionNotLive)
 	b.agent.gate.serve(v1)
 	b.requireRefused(request(v2), outcome.VersionNotLive)
@@ -57,7 +57,7 @@
 	b.requireRefused(request(v1), outcome.VersionNotLive)
 	require.False(t, closedChannel(drained), "drained with a request in progress")
 
-	close(letGo)
+	close(unblock)
 	require.Equal(t, rpc.FrameKind_FRAME_END, last(<-done).Kind)
 	<-drained
 	b.agent.gate.serve(v2)
@@ -66,11 +66,12 @@
 	require.Zero(t, b.agent.gate.state().inFlight)
 }
 
-// A leaving agent refuses at once, tells its watchers, and waits for the
-// requests in progress; a forced stop is reported as such.
+// A leaving agent refuses new requests immediately, notifies its watchers and
+// waits for the requests in progress. If the wait is cut short, the number of
+// remaining requests is reported.
 func TestLeaveWaitsForRequestsInProgress(t *testing.T) {
-	addr, begun, letGo := held(t)
-	b := newBed(t, inventory.KindModel, addr)
+	addr, begun, unblock := blockingBackend(t)
+	b := newTestbed(t, inventory.KindModel, addr)
 	b.agent.gate.serve(v1)
 	done := make(chan []*rpc.ResponseFrame, 1)
 	go func() { done <- b.run(request(v1)) }()
@@ -80,7 +81,7 @@
 	forced, cancel := context.WithCancel(context.Background())
 	cancel()
 	require.ErrorContains(t, b.agent.Leave(forced), "1 requests still in progress")
-	require.True(t, closedChannel(woken), "watchers were not told")
+	require.True(t, closedChannel(woken), "watchers were not notified")
 	require.True(t, b.agent.agentState(0).Leaving)
 	b.requireRefused(request(v1), outcome.Leaving)
 
@@ -88,7 +89,7 @@
 	go func() { left <- b.agent.Leave(context.Background()) }()
 	b.requireRefused(request(v1), outcome.Leaving)
 	require.Empty(t, left, "left with a request in progress")
-	close(letGo)
+	close(unblock)
 	require.Equal(t, rpc.FrameKind_FRAME_END, last(<-done).Kind)
 	require.NoError(t, <-left)
 }
--- a/internal/agent/journal.go
+++ b/internal/agent/journal.go
@@ -14,12 +14,13 @@
 
 const (
 	journalFile = "orders.json"
-	// journalMode lets every user read the journal: it holds no secret.
+	// journalMode makes the journal world-readable; it contains no secrets.
 	journalMode = 0o644
 )
 
-// readJournal returns the order journal kept in dir, or nil if there is none
-// that can be read: the machine then assumes an order in progress.
+// readJournal returns the order journal in dir, or nil if there is none or it
+// cannot be decoded. Without a journal the order machine assumes that an order
+// is in progress.
 func readJournal(dir string) (*orders.Journal, error) {
 	data, err := os.ReadFile(filepath.Join(dir, journalFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -35,7 +36,7 @@
 	return &j, nil
 }
 
-// writeJournal replaces the journal in dir and syncs it before it returns.
+// writeJournal atomically replaces the journal in dir and syncs it to disk.
 func writeJournal(dir string, j orders.Journal) error {
 	data, err := json.Marshal(j)
 	if err != nil {
--- a/internal/agent/leaving.go
+++ b/internal/agent/leaving.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// headerLeaving is set in the answers of a backend server that takes no new requests.
+// headerLeaving is set in the responses of a backend server that takes no new requests.
 const headerLeaving = "Server-Leaving"
 
-// leavingHold is for how long a backend server that has said that it leaves gets nothing, unless its
-// end is seen before: one that starts again within the time between two checks is not seen to end.
-const leavingHold = time.Minute
+// leavingTimeout is how long a backend server gets no requests after it has signalled that it leaves,
+// unless the agent finds it stopped earlier. It is needed because a server that restarts between
+// two checks is never found stopped.
+const leavingTimeout = time.Minute
 
-// hearLeaving takes a backend server's signal that it leaves. Entries hear of it on their watches;
-// the agent itself stays.
-func (a *Agent) hearLeaving(resp *http.Response) {
+// observeLeaving refuses new requests if a response signals that the backend server leaves. Entries
+// are notified through Watch; the agent itself does not leave.
+func (a *Agent) observeLeaving(resp *http.Response) {
 	leaves, err := strconv.ParseBool(resp.Header.Get(headerLeaving))
-	if err != nil || !leaves || !a.gate.setBackendLeaves(true) {
+	if err != nil || !leaves || !a.gate.setBackendLeaving(true) {
 		return
 	}
 	a.log.Info().Msg("backend server signals that it leaves")
-	time.AfterFunc(leavingHold, a.backendEnded)
+	time.AfterFunc(leavingTimeout, a.clearBackendLeaving)
 }
 
-// backendEnded ends what the backend server said of its leaving: it is not there, so that the next
-// one is another start.
-func (a *Agent) backendEnded() {
-	if a.gate.setBackendLeaves(false) {
-		a.log.Info().Msg("backend server that was to leave has ended, or is taken to have")
+// clearBackendLeaving clears the signal that the backend server leaves, once the server has stopped
+// or leavingTimeout has passed: the next one at this address is a new incarnation.
+func (a *Agent) clearBackendLeaving() {
+	if a.gate.setBackendLeaving(false) {
+		a.log.Info().Msg("leaving backend server has stopped or the wait for it has timed out")
 	}
 }
--- a/internal/agent/limiter.go
+++ b/internal/agent/limiter.go
@@ -10,11 +10,11 @@
 	"lynxgate.dev/lynxgate/internal/backpressure"
 )
 
-// headerLimit names how many requests a second the backend server takes.
+// headerLimit is the number of requests per second that the backend server accepts.
 const headerLimit = "Server-Limit"
 
-// limiter keeps to the limit that the backend server names, and to the backoff that it requests. All
-// requests come through this agent, so that it holds the whole of the limit.
+// limiter enforces the rate limit and the backoff that the backend server requests. The agent may
+// use the whole limit because all requests to the server pass through it.
 type limiter struct {
 	log zerolog.Logger
 
@@ -24,7 +24,7 @@
 	backoff backpressure.Backoff
 }
 
-// admit lets a request pass now, or returns after how long one may.
+// admit admits a request, or returns how long to wait until one may be admitted.
 func (l *limiter) admit(now time.Time) (wait time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,8 +40,8 @@
 	return 0, true
 }
 
-// hearBackoff takes the backoff requested in the head of a refusal, and returns for how long.
-func (l *limiter) hearBackoff(now time.Time, resp *http.Response) time.Duration {
+// observeBackoff applies the backoff requested in the headers of a refusal and returns its duration.
+func (l *limiter) observeBackoff(now time.Time, resp *http.Response) time.Duration {
 	if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusTooManyRequests {
 		return 0
 	}
@@ -54,9 +54,9 @@
 	return asked
 }
 
-// hear takes the head of an answer to a request that was sent at sentAt. Only a success
-// lifts a limit by naming none.
-func (l *limiter) hear(now, sentAt time.Time, resp *http.Response) {
+// observeLimit applies the rate limit in the headers of a response to a request sent at sentAt. A
+// response without a limit lifts the current one only if its status is a success.
+func (l *limiter) observeLimit(now, sentAt time.Time, resp *http.Response) {
 	stated := backpressure.ReadLimit(resp.Header.Values(headerLimit))
 	if !stated.Named && resp.StatusCode/100 != 2 {
 		return
--- a/internal/agent/limiter_test.go
+++ b/internal/agent/limiter_test.go
@@ -17,11 +17,11 @@
 	"lynxgate.dev/lynxgate/internal/standin/plain"
 )
 
-func TestAgentSendsNoMoreThanTheBackendServerTakes(t *testing.T) {
+func TestAgentEnforcesBackendServerLimit(t *testing.T) {
 	service := plain.New(plain.Config{Faults: plain.Faults{Limit: "0.5"}})
 	server := httptest.NewServer(service)
 	t.Cleanup(server.Close)
-	b := newBed(t, inventory.KindPlain, strings.TrimPrefix(server.URL, "http://"))
+	b := newTestbed(t, inventory.KindPlain, strings.TrimPrefix(server.URL, "http://"))
 	b.agent.gate.serve(v1)
 	require.Equal(t, rpc.FrameKind_FRAME_END, last(b.run(request(v1))).Kind)
 	for range 5 {
@@ -33,27 +33,27 @@
 	assert.EqualValues(t, 1, service.Runs().Total)
 }
 
-func TestRefusalLiftsNoLimit(t *testing.T) {
+func TestRefusalDoesNotLiftLimit(t *testing.T) {
 	var l limiter
 	now := time.Unix(1000, 0)
 	answer := func(status int, limit ...string) *http.Response {
 		return &http.Response{StatusCode: status, Header: http.Header{headerLimit: limit}}
 	}
-	l.hear(now, now.Add(-time.Second), answer(http.StatusOK, "1"))
-	l.hear(now.Add(2*time.Second), now.Add(time.Second), answer(http.StatusServiceUnavailable))
+	l.observeLimit(now, now.Add(-time.Second), answer(http.StatusOK, "1"))
+	l.observeLimit(now.Add(2*time.Second), now.Add(time.Second), answer(http.StatusServiceUnavailable))
 	assert.True(t, l.limit.InForce)
-	l.hear(now.Add(2*time.Second), now.Add(time.Second), answer(http.StatusOK))
+	l.observeLimit(now.Add(2*time.Second), now.Add(time.Second), answer(http.StatusOK))
 	assert.False(t, l.limit.InForce)
 }
 
-func TestAgentLeavesAnEngineThatAsksForRestAlone(t *testing.T) {
+func TestAgentHonoursEngineBackoff(t *testing.T) {
 	var asked atomic.Int64
 	addr := backendServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		asked.Add(1)
 		w.Header().Set("Retry-After", "2.5")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	b := newBed(t, inventory.KindModel, addr)
+	b := newTestbed(t, inventory.KindModel, addr)
 	b.agent.gate.serve(v1)
 	for i := range 4 {
 		got := last(b.run(request(v1)))
@@ -64,18 +64,18 @@
 	assert.EqualValues(t, 1, asked.Load())
 }
 
-func TestAgentSendsNothingToABackendServerThatLeaves(t *testing.T) {
+func TestNoRequestsToLeavingBackendServer(t *testing.T) {
 	service := plain.New(plain.Config{Faults: plain.Faults{Leaving: true}})
 	server := httptest.NewServer(service)
-	b := newBed(t, inventory.KindPlain, strings.TrimPrefix(server.URL, "http://"))
+	b := newTestbed(t, inventory.KindPlain, strings.TrimPrefix(server.URL, "http://"))
 	b.agent.gate.serve(v1)
 	require.Equal(t, rpc.FrameKind_FRAME_END, last(b.run(request(v1))).Kind)
 	for range 3 {
 		require.Equal(t, string(outcome.Leaving), last(b.run(request(v1))).Reason)
 	}
 	assert.EqualValues(t, 1, service.Runs().Total)
-	assert.False(t, b.agent.gate.state().leaving, "the agent stays")
+	assert.False(t, b.agent.gate.state().leaving, "the agent itself does not leave")
 	server.Close()
 	b.agent.setPlainUp(false)
-	assert.False(t, b.agent.gate.state().backendLeaves, "the next start is another one")
+	assert.False(t, b.agent.gate.state().backendLeaving, "the next incarnation starts without the signal")
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -13,23 +13,23 @@
 	"lynxgate.dev/lynxgate/internal/weights/transfer"
 )
 
-// eventBuffer holds ends of asynchronous actions until the loop takes them.
+// eventBuffer is the capacity of loop.events.
 const eventBuffer = 16
 
-// loop is the agent's control goroutine and what it alone owns.
+// loop is the agent's control loop with the state that only it accesses.
 type loop struct {
 	*Agent
 	machine *orders.Machine
-	// events brings the ends of asynchronous actions.
+	// events receives the results of asynchronous actions.
 	events chan orders.Event
 	// feedChanged is closed when the configuration changes after the view
-	// last followed.
+	// that was applied last.
 	feedChanged <-chan struct{}
-	// phases are the replica phases last announced.
+	// phases are the replica phases published last.
 	phases map[orders.Ref]string
 }
 
-// Serve works until ctx is done.
+// Serve runs the agent until ctx is done.
 func (a *Agent) Serve(ctx context.Context) error {
 	if a.plain() {
 		return a.runPlain(ctx)
@@ -52,8 +52,8 @@
 func (l *loop) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	l.followFeed(ctx)
-	l.followTransfers(ctx)
+	l.applyConfiguration(ctx)
+	l.applyStaged(ctx)
 	for {
 		select {
 		case <-ctx.Done():
@@ -63,29 +63,29 @@
 		case <-ticker.C:
 			l.step(ctx, orders.Tick{})
 		case <-l.feedChanged:
-			l.followFeed(ctx)
+			l.applyConfiguration(ctx)
 		case <-l.transfers.Changed():
-			l.followTransfers(ctx)
+			l.applyStaged(ctx)
 		case <-l.leaveRequest:
 			l.step(ctx, orders.Leave{})
 		}
 	}
 }
 
-// step feeds one event to the order machine and carries out its actions.
+// step passes one event to the order machine and executes its actions.
 func (l *loop) step(ctx context.Context, event orders.Event) {
 	if e, ok := event.(orders.EngineReported); ok && e.Err == nil {
-		l.keepReport(ctx, e.State)
+		l.storeReport(ctx, e.State)
 	} else if ok && errors.Is(e.Err, syscall.ECONNREFUSED) {
-		l.backendEnded()
+		l.clearBackendLeaving()
 	}
 	for _, action := range l.machine.Step(time.Now(), event) {
-		l.carryOut(ctx, action)
+		l.execute(ctx, action)
 	}
 	l.publish()
 }
 
-func (l *loop) carryOut(ctx context.Context, action orders.Action) {
+func (l *loop) execute(ctx context.Context, action orders.Action) {
 	switch act := action.(type) {
 	case orders.Serve:
 		l.log.Info().Str("model", act.Ref.Model).Str("version", act.Ref.Version).Msg("serving")
@@ -96,7 +96,7 @@
 		go l.awaitDrained(ctx)
 	case orders.WriteJournal:
 		if err := writeJournal(l.cfg.ScratchDir, act.Journal); err != nil {
-			l.log.Error().Err(err).Msg("order journal not written")
+			l.log.Error().Err(err).Msg("writing the order journal failed")
 		}
 	case orders.Load:
 		l.log.Info().Str("model", act.Order.Model).Str("version", act.Order.Version).
@@ -125,7 +125,7 @@
 	result := "done"
 	if err != nil {
 		result = "failed"
-		l.log.Warn().Err(err).Str("kind", kind).Msg("order failed")
+		l.log.Warn().Err(err).Str("kind", kind).Msg("order to the engine failed")
 	}
 	l.metrics.orders.WithLabelValues(kind, result).Inc()
 	l.post(ctx, orders.OrderDone{Err: err})
@@ -145,8 +145,8 @@
 	}
 }
 
-// followFeed takes over the assignment and the swarm from the configuration.
-func (l *loop) followFeed(ctx context.Context) {
+// applyConfiguration applies the assignment and the swarm members of the configuration.
+func (l *loop) applyConfiguration(ctx context.Context) {
 	l.feedChanged = l.feed.Changed()
 	l.announcer.Changed()
 	view := l.feed.View()
@@ -156,8 +156,8 @@
 	}
 }
 
-// followTransfers tells the machine which weights are staged.
-func (l *loop) followTransfers(ctx context.Context) {
+// applyStaged passes the staged weights to the order machine.
+func (l *loop) applyStaged(ctx context.Context) {
 	staged := map[orders.Ref]orders.Weights{}
 	for _, p := range l.transfers.Status() {
 		if p.Staged {
@@ -168,8 +168,8 @@
 	l.step(ctx, orders.StagedChanged{Staged: staged})
 }
 
-// publish makes the replica reports readable for the announcer and wakes it
-// when a phase has changed; progress alone rides on the next renewal.
+// publish stores the replica reports for the announcer. A change of phase
+// triggers an announcement; progress waits for the next regular one.
 func (l *loop) publish() {
 	reports := l.replicaReports()
 	l.replicas.Store(&reports)
@@ -183,7 +183,7 @@
 	}
 }
 
-// wantedTransfers lists the versions assigned to vm with the members of
+// wantedTransfers returns the versions assigned to vm with the members of
 // their swarms.
 func wantedTransfers(view *keyspace.View, vm string) []transfer.Wanted {
 	own, ok := keyspace.Lookup[inventory.Assignment](view, inventory.PrefixAssign+vm)
--- a/internal/agent/plain_test.go
+++ b/internal/agent/plain_test.go
@@ -21,39 +21,39 @@
 	"lynxgate.dev/lynxgate/internal/rpcconn"
 )
 
-// control notes the highest revision announced.
-type control struct {
+// fakeControl stores the last announced revision.
+type fakeControl struct {
 	rpc.DRPCControlUnimplementedServer
 	revision atomic.Uint64
 }
 
-func (c *control) Announce(_ context.Context, req *rpc.AnnounceRequest) (*rpc.AnnounceResponse, error) {
+func (c *fakeControl) Announce(_ context.Context, req *rpc.AnnounceRequest) (*rpc.AnnounceResponse, error) {
 	c.revision.Store(req.Revision)
 	return &rpc.AnnounceResponse{Status: rpc.Status_STATUS_OK}, nil
 }
 
-// feed is a configuration that a test moves on.
-type feed struct {
+// fakeFeed provides a configuration whose revision a test advances.
+type fakeFeed struct {
 	mu      sync.Mutex
 	view    *keyspace.View
 	changed chan struct{}
 }
 
-func (f *feed) View() *keyspace.View {
+func (f *fakeFeed) View() *keyspace.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view
 }
 
-func (f *feed) Changed() <-chan struct{} {
+func (f *fakeFeed) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-func (f *feed) Unconfirmed() bool { return false }
+func (f *fakeFeed) Unconfirmed() bool { return false }
 
-func (f *feed) advance(revision uint64) {
+func (f *fakeFeed) advance(revision uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.view = keyspace.NewView(revision, nil)
@@ -61,10 +61,10 @@
 	f.changed = make(chan struct{})
 }
 
-// An agent of a plain service tells each revision it has in force, and does
-// not wait for the renewal of its lease.
+// An agent of a plain service announces each new revision immediately, not only
+// when its lease is renewed.
 func TestPlainAgentAnnouncesNewRevisions(t *testing.T) {
-	server := &control{}
+	server := &fakeControl{}
 	mux := drpcmux.New()
 	require.NoError(t, rpc.DRPCRegisterControl(mux, server))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -74,7 +74,7 @@
 	lis := listen(t)
 	running.Go(func() { _ = rpcconn.Serve(ctx, lis, mux) })
 
-	config := &feed{view: keyspace.NewView(1, nil), changed: make(chan struct{})}
+	config := &fakeFeed{view: keyspace.NewView(1, nil), changed: make(chan struct{})}
 	a, err := agent.New(agent.Config{
 		VM: "vm-1", Service: "backoffice", Kind: inventory.KindPlain, BackendAddr: listen(t).Addr().String(),
 		AnnounceInterval: time.Hour, Logger: zerolog.Nop(), Registerer: prometheus.NewRegistry(),
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -10,24 +10,27 @@
 )
 
 const (
-	// loadUnknown stands for a backend server that reports no load.
+	// loadUnknown is the load of a backend server that reports none.
 	loadUnknown = -1
-	// maxCacheEvents kept for watches that have not seen them yet.
+	// maxCacheEvents is the number of cache events kept for watches that have
+	// not sent them yet.
 	maxCacheEvents = 256
-	// plainCheckInterval is the time between checks of a plain service.
+	// plainCheckInterval is the interval between connection probes of a plain
+	// service.
 	plainCheckInterval = time.Second
 )
 
-// report is what the backend server last said of itself. It is replaced
-// whole, never changed.
+// report is the state last reported by the backend server. It is immutable; a
+// new report replaces it.
 type report struct {
 	load        float64
 	concurrency int
 	cacheEvents []*rpc.CacheEvent
 }
 
-// keepReport takes over the engine's load and fetches new cache events.
-func (l *loop) keepReport(ctx context.Context, state engine.State) {
+// storeReport stores the engine's load and concurrency, and fetches new cache
+// events.
+func (l *loop) storeReport(ctx context.Context, state engine.State) {
 	old := l.report.Load()
 	next := &report{
 		load:        state.Load,
@@ -68,8 +71,8 @@
 	return out[max(0, len(out)-maxCacheEvents):]
 }
 
-// runPlain stands for a plain service: it is served while it accepts
-// connections.
+// runPlain runs the agent of a plain service. The gate is open while the
+// service accepts connections.
 func (a *Agent) runPlain(ctx context.Context) error {
 	go func() { _ = a.announcer.Run(ctx) }()
 	ticker := time.NewTicker(plainCheckInterval)
@@ -101,6 +104,6 @@
 		return
 	}
 	a.log.Warn().Msg("backend server does not accept connections")
-	a.backendEnded()
+	a.clearBackendLeaving()
 	a.gate.stop()
 }
--- a/internal/agent/bed_test.go
+++ b/internal/agent/testbed_test.go
@@ -22,8 +22,8 @@
 	"lynxgate.dev/lynxgate/internal/rpcconn"
 )
 
-// patience is the generous limit of every wait on a condition.
-const patience = 20 * time.Second
+// waitTimeout limits how long the tests wait for a condition; it is generous because it only matters on failure.
+const waitTimeout = 20 * time.Second
 
 type staticFeed struct{ view *keyspace.View }
 
@@ -31,9 +31,9 @@
 func (f staticFeed) Changed() <-chan struct{} { return nil }
 func (f staticFeed) Unconfirmed() bool        { return false }
 
-// bed is an agent served over loopback, without its control loop: the tests
-// move the gate themselves.
-type bed struct {
+// testbed is an agent served over loopback without its control loop; the tests
+// operate the gate directly.
+type testbed struct {
 	t     *testing.T
 	agent *Agent
 	pool  *rpcconn.Pool
@@ -45,7 +45,7 @@
 	v2 = orders.Ref{Model: "m", Version: "v2"}
 )
 
-func newBed(t *testing.T, kind inventory.ServiceKind, backendAddr string) *bed {
+func newTestbed(t *testing.T, kind inventory.ServiceKind, backendAddr string) *testbed {
 	t.Helper()
 	t.Parallel()
 	control := controlclient.New(controlclient.Config{})
@@ -64,7 +64,7 @@
 		defer close(served)
 		_ = rpcconn.Serve(ctx, lis, mux)
 	}()
-	b := &bed{t: t, agent: a, pool: rpcconn.NewPool(), addr: lis.Addr().String()}
+	b := &testbed{t: t, agent: a, pool: rpcconn.NewPool(), addr: lis.Addr().String()}
 	t.Cleanup(func() {
 		cancel()
 		<-served
@@ -73,8 +73,9 @@
 	return b
 }
 
-// backendServer serves handler and returns its address. The handler finds the
-// body read: only then does net/http notice a caller who leaves.
+// backendServer serves handler and returns its address. It reads the request
+// body first, because net/http does not notice that a client has closed the
+// connection before the body has been read.
 func backendServer(t *testing.T, handler http.HandlerFunc) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -84,17 +85,18 @@
 	return server.Listener.Addr().String()
 }
 
-// request pinned to ref; the body keeps engines' calls like real ones.
+// request returns a request pinned to ref, with a body as requests to engines
+// have.
 func request(ref orders.Ref, headers ...*rpc.Header) *rpc.RunRequest {
 	return &rpc.RunRequest{
 		RequestId: "r-1", Organisation: "o", Service: "s", Model: ref.Model, Version: ref.Version,
 		Method: http.MethodPost, Path: "/jobs", Headers: headers, Body: []byte("{}"),
-		DeadlineMs: patience.Milliseconds(),
+		DeadlineMs: waitTimeout.Milliseconds(),
 	}
 }
 
-// open sends a request and returns the stream of its frames.
-func (b *bed) open(ctx context.Context, in *rpc.RunRequest) rpc.DRPCDispatch_RunClient {
+// open sends a request and returns the stream of its response frames.
+func (b *testbed) open(ctx context.Context, in *rpc.RunRequest) rpc.DRPCDispatch_RunClient {
 	b.t.Helper()
 	conn := b.pool.Get(ctx, b.addr)
 	b.t.Cleanup(func() { _ = conn.Close() })
@@ -103,10 +105,10 @@
 	return stream
 }
 
-// run sends a request and returns all frames.
-func (b *bed) run(in *rpc.RunRequest) []*rpc.ResponseFrame {
+// run sends a request and returns all response frames.
+func (b *testbed) run(in *rpc.RunRequest) []*rpc.ResponseFrame {
 	b.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	stream := b.open(ctx, in)
 	var out []*rpc.ResponseFrame
@@ -120,5 +122,5 @@
 	}
 }
 
-// last is the frame that says how the answer ended.
+// last returns the last frame, which contains the outcome of the request.
 func last(frames []*rpc.ResponseFrame) *rpc.ResponseFrame { return frames[len(frames)-1] }
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -8,10 +8,10 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// HeartbeatInterval is the longest time between two states on a watch.
+// HeartbeatInterval is the maximum time between two states on a watch.
 const HeartbeatInterval = 2 * time.Second
 
-// watchers wakes the goroutines of all open watches.
+// watchers wakes the goroutines of all open watches when the state changes.
 type watchers struct {
 	mu    sync.Mutex
 	woken chan struct{}
@@ -22,7 +22,7 @@
 	return &watchers{woken: make(chan struct{})}
 }
 
-// wake makes every watch send the state at once.
+// wake makes every watch send the state immediately.
 func (w *watchers) wake() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -30,7 +30,7 @@
 	w.woken = make(chan struct{})
 }
 
-// next returns a channel that the next wake closes.
+// next returns a channel that is closed by the next call of wake.
 func (w *watchers) next() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,8 +61,8 @@
 	}
 }
 
-// agentState is what entries learn of this agent; cache events are those
-// after cacheSeq.
+// agentState returns the state sent to entries, with the cache events after
+// cacheSeq.
 func (a *Agent) agentState(cacheSeq uint64) *rpc.AgentState {
 	gate := a.gate.state()
 	report := a.report.Load()
@@ -71,7 +71,7 @@
 		Incarnation:  a.incarnation,
 		Seq:          a.stateSeq.Add(1),
 		Service:      a.cfg.Service,
-		Leaving:      gate.leaving || gate.backendLeaves,
+		Leaving:      gate.leaving || gate.backendLeaving,
 		InFlight:     uint32(gate.inFlight),
 		ReportedLoad: report.load,
 		Concurrency:  uint32(report.concurrency),
