--- a/internal/staging/digests.go
+++ b/internal/staging/digests.go
@@ -13,7 +13,7 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// complete returns the version's set once it holds all pieces, fetching them.
+// complete fetches the missing pieces of a version and returns its set.
 func (s *Stager) complete(ctx context.Context, g goal) (*pieceSet, error) {
 	set, err := s.openSet(ctx, g)
 	if err != nil {
@@ -25,7 +25,8 @@
 	return set, s.fetch(ctx, g, set)
 }
 
-// openSet returns the version's set; a new one holds what lies at the engine.
+// openSet returns the version's set, creating it if necessary. Pieces that are
+// staged at the engine already are imported into it.
 func (s *Stager) openSet(ctx context.Context, g goal) (*pieceSet, error) {
 	k := key{g.model, g.version}
 	set := s.sets.get(k)
@@ -36,15 +37,15 @@
 		}
 		set = s.sets.add(k, digests)
 	}
-	if s.reported.Load() && set.takeStagedNow() {
-		s.takeStaged(ctx, g, set)
+	if s.reported.Load() && set.startImport() {
+		s.importStaged(ctx, g, set)
 	}
 	return set, nil
 }
 
-// learnNewest learns the digests of the newest version while an older one is fetched, until
-// ctx is done: only then it can be gone for.
-func (s *Stager) learnNewest(ctx context.Context) {
+// prefetchDigests fetches the digests of the newest version while an older one is being fetched,
+// until ctx is done. Without its digests the newest version cannot be chosen.
+func (s *Stager) prefetchDigests(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
@@ -59,19 +60,20 @@
 		}
 		tryCtx, cancel := context.WithTimeout(ctx, completeTimeout)
 		if _, err := s.openSet(tryCtx, wanted[1]); err != nil {
-			s.log.Warn().Err(err).Str("model", wanted[1].model).Uint64("version", wanted[1].version).Msg("digests not learned")
+			s.log.Warn().Err(err).Str("model", wanted[1].model).Uint64("version", wanted[1].version).Msg("fetching digests failed")
 		}
 		cancel()
 	}
 }
 
-// digests asks peers, and the origin when it is this agent's turn.
+// digests returns the digests of a version from a peer or, after a delay that grows with this
+// agent's rank, from the origin.
 func (s *Stager) digests(ctx context.Context, g goal) ([]Digest, error) {
 	servers := s.servers()
-	turn := s.turn(servers, digestsTurn)
-	for began := clock.Now(); !s.reported.Load() || clock.Since(began) < time.Duration(turn)*digestPatience; {
-		if digests := s.digestsOfPeers(ctx, g, servers); digests != nil {
-			s.noteOriginHeard(clock.Now())
+	rank := s.rankAmong(servers, rankForDigests)
+	for began := clock.Now(); !s.reported.Load() || clock.Since(began) < time.Duration(rank)*digestDelay; {
+		if digests := s.digestsFromPeers(ctx, g, servers); digests != nil {
+			s.recordOriginServes(clock.Now())
 			return digests, nil
 		}
 		if !pause.For(ctx, digestInterval) {
@@ -81,29 +83,29 @@
 	ctx, cancel := context.WithTimeout(ctx, pieceTimeout)
 	defer cancel()
 	digests, err := s.cfg.Origin.Digests(ctx, g.origin.Addr, g.model, g.version)
-	s.noteOrigin(err, clock.Now())
+	s.recordOrigin(err, clock.Now())
 	if err != nil {
 		return nil, fmt.Errorf("digests from the origin: %w", err)
 	}
 	if len(digests) != g.engine.Pieces {
-		return nil, fmt.Errorf("origin tells %d digests, the configuration %d pieces", len(digests), g.engine.Pieces)
+		return nil, fmt.Errorf("origin returned %d digests, the configuration has %d pieces", len(digests), g.engine.Pieces)
 	}
 	s.log.Info().Str("model", g.model).Uint64("version", g.version).Msg("digests taken from the origin")
 	return digests, nil
 }
 
-// digestsOfPeers asks the agent whose turn at the origin it is, and some others by lot;
-// nil if none of them knows.
-func (s *Stager) digestsOfPeers(ctx context.Context, g goal, servers []*fleet.BackendServer) []Digest {
+// digestsFromPeers asks the agent that is first to ask the origin, and some random others. It
+// returns nil if none of them has the digests.
+func (s *Stager) digestsFromPeers(ctx context.Context, g goal, servers []*fleet.BackendServer) []Digest {
 	asked := rand.Perm(len(servers))[:min(digestPeers, len(servers))]
-	if first := newTurns(s.cfg.EngineAddr, servers).first(digestsTurn); first != nil {
+	if first := newPieceRanks(s.cfg.EngineAddr, servers).first(rankForDigests); first != nil {
 		asked = append([]int{slices.Index(servers, first)}, asked...)
 	}
 	for _, i := range asked {
 		if servers[i].Addr == s.cfg.EngineAddr {
 			continue
 		}
-		digests, err := s.digestsOf(ctx, s.cfg.PeerAddr(servers[i].Addr), g)
+		digests, err := s.digestsFrom(ctx, s.cfg.PeerAddr(servers[i].Addr), g)
 		if err == nil && len(digests) == g.engine.Pieces {
 			return digests
 		}
@@ -111,7 +113,7 @@
 	return nil
 }
 
-func (s *Stager) digestsOf(ctx context.Context, peer string, g goal) ([]Digest, error) {
+func (s *Stager) digestsFrom(ctx context.Context, peer string, g goal) ([]Digest, error) {
 	ctx, cancel := context.WithTimeout(ctx, digestTimeout)
 	defer cancel()
 	resp, err := rpc.NewDRPCPiecesClient(s.pool.Get(ctx, peer)).Digests(ctx, &rpc.HeldRequest{Model: g.model, Version: g.version})
@@ -121,21 +123,21 @@
 	digests := make([]Digest, len(resp.Digests))
 	for i, d := range resp.Digests {
 		if len(d) != len(digests[i]) {
-			return nil, fmt.Errorf("digest of %d bytes from %s", len(d), peer)
+			return nil, fmt.Errorf("digest has invalid length %d from %s", len(d), peer)
 		}
 		copy(digests[i][:], d)
 	}
 	return digests, nil
 }
 
-// takeStaged takes in what lies at the engine already and is right.
-func (s *Stager) takeStaged(ctx context.Context, g goal, set *pieceSet) {
+// importStaged adds the pieces that are staged at the engine to set if their digests match.
+func (s *Stager) importStaged(ctx context.Context, g goal, set *pieceSet) {
 	began := s.now()
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	held, err := s.cfg.Engine.Held(callCtx, g.model)
 	cancel()
 	if err != nil {
-		s.log.Warn().Err(err).Msg("engine does not tell what it holds")
+		s.log.Warn().Err(err).Msg("listing the staged pieces failed")
 		return
 	}
 	taken := 0
@@ -148,7 +150,7 @@
 		}
 	}
 	if taken == len(set.digests) {
-		s.atEngine.note(g.key(), began)
+		s.verification.record(g.key(), began)
 	}
 	s.log.Info().Uint64("version", g.version).Int("held", len(held)).Int("taken", taken).Msg("staged pieces taken in")
 	s.cfg.Metrics.pieces.WithLabelValues("staged").Add(float64(taken))
--- a/internal/staging/engine.go
+++ b/internal/staging/engine.go
@@ -8,40 +8,40 @@
 	"lynxgate.dev/lynxgate/internal/fleet"
 )
 
-// Digest is the SHA-256 of a piece.
+// Digest is the SHA-256 hash of a piece.
 type Digest [sha256.Size]byte
 
-// Report is what an engine says of itself.
+// Report is the state that an engine reports.
 type Report struct {
-	// Born is when the engine started, in Unix milliseconds by its own clock; 0 if it
-	// does not say.
+	// Born is when the engine started, in Unix milliseconds of its own clock; 0 if not
+	// reported.
 	Born   int64
 	Models []fleet.Loaded
-	// Busy tells that an order is in progress.
+	// Busy is true while an order is in progress.
 	Busy             bool
 	Running, Waiting int
 }
 
-// Errors of an engine.
+// Errors returned by an Engine.
 var (
-	// ErrNotHeld says that a piece does not lie at the engine.
-	ErrNotHeld = errors.New("piece is not held")
-	// ErrOrderRefused says that an order does not fit the engine's state.
+	// ErrNotHeld reports that a piece is not staged at the engine.
+	ErrNotHeld = errors.New("piece is not staged")
+	// ErrOrderRefused reports that the engine cannot execute an order in its current state.
 	ErrOrderRefused = errors.New("order refused")
 )
 
-// Engine is the backend server beside the agent.
+// Engine is the client of the agent's backend server.
 type Engine interface {
 	Report(ctx context.Context) (Report, error)
-	// Held lists the pieces of a model that lie there, of whatever version.
+	// Held lists the staged pieces of a model, whatever their version.
 	Held(ctx context.Context, model string) ([]int, error)
 	Get(ctx context.Context, model string, piece int) ([]byte, error)
 	Put(ctx context.Context, model string, piece int, data []byte) error
-	// Load orders the engine to load what lies there as this version.
+	// Load orders the engine to load the staged pieces as this version.
 	Load(ctx context.Context, model string, version uint64) error
 }
 
-// Origin is where weights come from.
+// Origin is the client of the origin server of weights.
 type Origin interface {
 	Digests(ctx context.Context, addr, model string, version uint64) ([]Digest, error)
 	Piece(ctx context.Context, addr, model string, version uint64, piece int) ([]byte, error)
--- a/internal/staging/fetch.go
+++ b/internal/staging/fetch.go
@@ -14,66 +14,66 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// fetcher is one try to complete a set; its goroutine owns it.
+// fetcher is one attempt to complete a set; its goroutine owns it.
 type fetcher struct {
 	s       *Stager
 	g       goal
 	set     *pieceSet
 	servers []*fleet.BackendServer
-	// near are those of the own zone, nearPeers the agents beside them.
-	near      []*fleet.BackendServer
-	nearPeers map[string]bool
-	// allTurns and nearTurns are the orders of servers and near; nil until they are asked.
-	allTurns, nearTurns *turns
-	began               time.Time
-	// refreshed is when servers was last made; refused is when an agent refused a
-	// connection.
+	// zoneServers are the servers in this agent's zone, zonePeers the addresses of their agents.
+	zoneServers []*fleet.BackendServer
+	zonePeers   map[string]bool
+	// ranking and zoneRanking rank the agents of servers and zoneServers; nil until first used.
+	ranking, zoneRanking *pieceRanks
+	began                time.Time
+	// refreshed is when servers was last updated; refused is when each agent last refused
+	// a connection.
 	refreshed time.Time
 	refused   map[string]time.Time
-	// holders are the pieces that peers have told to hold.
+	// holders are the pieces that each peer has announced.
 	holders map[string]map[int]bool
-	// count is how many peers have told to hold each piece.
-	count map[int]int
-	// heldSince is when a piece was first told to be held by a peer.
-	heldSince map[int]time.Time
-	// idleSince is since when nothing is in flight; zero while something is.
-	idleSince time.Time
-	inFlight  map[int]bool
-	busy      map[string]bool
-	badUntil  map[string]time.Time
-	downs     int
-	origins   int
-	// directs are the pieces asked of the agents whose turn at the origin it is;
-	// asked holds all that were.
-	directs int
-	// schedule says when the origin is asked in a large swarm; nil until it is needed, and
-	// after the origin failed.
-	schedule *originSchedule
-	asked    map[int]bool
-	// link judges the VM's link.
+	// peerCount is the number of peers that have announced each piece.
+	peerCount map[int]int
+	// announcedAt is when a peer first announced each piece.
+	announcedAt map[int]time.Time
+	// idleSince is when the last fetch in flight ended; zero while one is in flight.
+	idleSince     time.Time
+	inFlight      map[int]bool
+	busy          map[string]bool
+	backoffUntil  map[string]time.Time
+	downloads     int
+	originFetches int
+	// directRequests is the number of direct requests in flight to the agents that are first to
+	// fetch a piece from the origin; askedDirectly are the pieces requested so.
+	directRequests int
+	// schedule determines when pieces are requested from the origin in a large swarm; nil
+	// until first used, and after the origin failed.
+	schedule      *originSchedule
+	askedDirectly map[int]bool
+	// link estimates whether the VM's link is narrow.
 	link    linkState
-	results chan fetched
-	told    chan heldBy
+	results chan fetchResult
+	updates chan peerUpdate
 }
 
-// heldBy is what a peer has told.
-type heldBy struct {
+// peerUpdate is an update of the pieces that a peer has.
+type peerUpdate struct {
 	peer   string
 	pieces []uint32
 }
 
-// fetch completes a set.
+// fetch fetches the missing pieces of a set.
 func (s *Stager) fetch(ctx context.Context, g goal, set *pieceSet) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f := &fetcher{
 		s: s, g: g, set: set, began: clock.Now(),
-		holders: map[string]map[int]bool{}, count: map[int]int{}, heldSince: map[int]time.Time{}, asked: map[int]bool{}, inFlight: map[int]bool{}, busy: map[string]bool{},
-		badUntil: map[string]time.Time{}, refused: map[string]time.Time{}, results: make(chan fetched), told: make(chan heldBy),
+		holders: map[string]map[int]bool{}, peerCount: map[int]int{}, announcedAt: map[int]time.Time{}, askedDirectly: map[int]bool{}, inFlight: map[int]bool{}, busy: map[string]bool{},
+		backoffUntil: map[string]time.Time{}, refused: map[string]time.Time{}, results: make(chan fetchResult), updates: make(chan peerUpdate),
 	}
 	f.refresh(f.began)
-	for _, peer := range f.listened() {
-		go f.listen(ctx, peer)
+	for _, peer := range f.watchedPeers() {
+		go f.watchPeer(ctx, peer)
 	}
 	ticker := time.NewTicker(fetchTick)
 	defer ticker.Stop()
@@ -85,23 +85,23 @@
 				Dur("since_named_ms", g.age()).Msg("weights are complete")
 			return nil
 		}
-		if s.holding.Load() >= g.version {
-			return errHeld
+		if s.engineVersion.Load() >= g.version {
+			return errAlreadyLoaded
 		}
-		if s.overtaken(g) {
-			return errOvertaken
+		if s.superseded(g) {
+			return errSuperseded
 		}
 		f.refresh(clock.Now())
 		if due {
-			f.start(ctx, missing)
+			f.startFetches(ctx, missing)
 		}
 		select {
 		case r := <-f.results:
-			f.take(r)
+			f.handleResult(r)
 			due = true
-		case t := <-f.told:
-			f.note(t)
-			due = len(f.inFlight) == 0 // what else is told waits for the next tick
+		case t := <-f.updates:
+			f.handleUpdate(t)
+			due = len(f.inFlight) == 0 // other updates wait for the next tick
 		case <-ticker.C:
 			due = true
 		case <-ctx.Done():
@@ -110,61 +110,61 @@
 	}
 }
 
-func (f *fetcher) note(t heldBy) {
+func (f *fetcher) handleUpdate(t peerUpdate) {
 	if f.holders[t.peer] == nil {
 		f.holders[t.peer] = map[int]bool{}
 	}
 	for _, piece := range t.pieces {
 		if !f.holders[t.peer][int(piece)] {
 			f.holders[t.peer][int(piece)] = true
-			f.count[int(piece)]++
+			f.peerCount[int(piece)]++
 		}
-		if f.heldSince[int(piece)].IsZero() {
-			f.heldSince[int(piece)] = clock.Now()
-			if f.set.noteElsewhere(int(piece)) {
-				f.s.noteOriginHeard(clock.Now())
+		if f.announcedAt[int(piece)].IsZero() {
+			f.announcedAt[int(piece)] = clock.Now()
+			if f.set.addPeerPiece(int(piece)) {
+				f.s.recordOriginServes(clock.Now())
 			}
 		}
 	}
 }
 
-// start starts fetches of missing pieces, the rarest first.
-func (f *fetcher) start(ctx context.Context, missing []int) {
+// startFetches starts fetches of missing pieces, rarest first.
+func (f *fetcher) startFetches(ctx context.Context, missing []int) {
 	now := clock.Now()
-	count := f.count
+	count := f.peerCount
 	rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 	slices.SortStableFunc(missing, func(a, b int) int { return count[a] - count[b] })
 	for _, piece := range missing {
 		if f.inFlight[piece] {
 			continue
 		}
-		if f.large() && f.directs < maxDirect && !f.asked[piece] && count[piece] == 0 && f.turnNear(piece) == 0 {
-			f.fromFetcher(ctx, piece)
+		if f.large() && f.directRequests < maxDirect && !f.askedDirectly[piece] && count[piece] == 0 && f.zoneRank(piece) == 0 {
+			f.fromFirstAgent(ctx, piece)
 		}
 		if f.inFlight[piece] {
 			continue
 		}
-		if count[piece] > 0 && f.downs < f.mostDownloads() {
+		if count[piece] > 0 && f.downloads < f.downloadLimit() {
 			f.fromPeer(ctx, piece, now)
 		}
-		if f.originsTurn(piece, count[piece], now) {
+		if f.originDue(piece, count[piece], now) {
 			f.fromOrigin(ctx, piece)
 		}
 	}
-	f.noteIdle(now)
+	f.updateIdle(now)
 }
 
-func (f *fetcher) mostDownloads() int {
+func (f *fetcher) downloadLimit() int {
 	if f.link.narrow() {
-		return 1 - f.origins
+		return 1 - f.originFetches
 	}
-	if f.s.holding.Load() == 0 {
+	if f.s.engineVersion.Load() == 0 {
 		return maxDownloadsIdle
 	}
 	return maxDownloads
 }
 
-func (f *fetcher) noteIdle(now time.Time) {
+func (f *fetcher) updateIdle(now time.Time) {
 	switch {
 	case len(f.inFlight) > 0:
 		f.idleSince = time.Time{}
@@ -173,25 +173,25 @@
 	}
 }
 
-// listen follows what a peer holds until it holds all.
-func (f *fetcher) listen(ctx context.Context, peer string) {
+// watchPeer watches which pieces a peer has until it has all.
+func (f *fetcher) watchPeer(ctx context.Context, peer string) {
 	known := map[uint32]bool{}
 	for ctx.Err() == nil && len(known) < f.g.engine.Pieces {
-		if f.listenOnce(ctx, peer, known) {
+		if f.watchPeerOnce(ctx, peer, known) {
 			continue
 		}
-		pause.For(ctx, badPause)
+		pause.For(ctx, peerBackoff)
 	}
 }
 
-// listenOnce follows until the stream ends or nothing was told for heldSilence, and
-// tells whether it was the latter: the peer may have nothing to tell, or the connection
-// may have gone silent, and another one is tried.
-func (f *fetcher) listenOnce(ctx context.Context, peer string, known map[uint32]bool) (silent bool) {
+// watchPeerOnce watches until the stream ends or brings no update for updateTimeout, and
+// reports whether it timed out. The caller then opens a new stream: the peer may have no
+// new pieces, or the connection may be dead.
+func (f *fetcher) watchPeerOnce(ctx context.Context, peer string, known map[uint32]bool) (silent bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var ended atomic.Bool
-	watchdog := time.AfterFunc(heldSilence, func() {
+	watchdog := time.AfterFunc(updateTimeout, func() {
 		ended.Store(true)
 		cancel()
 	})
@@ -203,12 +203,12 @@
 		if err != nil {
 			break
 		}
-		watchdog.Reset(heldSilence)
+		watchdog.Reset(updateTimeout)
 		for _, piece := range u.Added {
 			known[piece] = true
 		}
 		select {
-		case f.told <- heldBy{peer: peer, pieces: u.Added}:
+		case f.updates <- peerUpdate{peer: peer, pieces: u.Added}:
 		case <-ctx.Done():
 		}
 	}
--- a/internal/staging/fetch_test.go
+++ b/internal/staging/fetch_test.go
@@ -17,7 +17,7 @@
 	"lynxgate.dev/lynxgate/internal/follow"
 )
 
-// testFetcher is of an agent alone in its fleet: each piece is its turn.
+// testFetcher returns the fetcher of an agent without peers, which has rank 0 for all pieces.
 func testFetcher(pieces ...[]byte) *fetcher {
 	var digests []Digest
 	for _, p := range pieces {
@@ -29,56 +29,56 @@
 	return &fetcher{
 		s: s, g: goal{engine: &fleet.Engine{}, origin: &fleet.Origin{}}, set: newPieceSet(digests),
 		servers: []*fleet.BackendServer{own}, began: time.Now().Add(-time.Minute),
-		holders: map[string]map[int]bool{}, count: map[int]int{}, heldSince: map[int]time.Time{}, asked: map[int]bool{},
-		inFlight: map[int]bool{}, busy: map[string]bool{}, badUntil: map[string]time.Time{}, refused: map[string]time.Time{},
+		holders: map[string]map[int]bool{}, peerCount: map[int]int{}, announcedAt: map[int]time.Time{}, askedDirectly: map[int]bool{},
+		inFlight: map[int]bool{}, busy: map[string]bool{}, backoffUntil: map[string]time.Time{}, refused: map[string]time.Time{},
 	}
 }
 
-func TestOriginThatFailedIsSparedForAWhile(t *testing.T) {
+func TestBackoffOfFailedOrigin(t *testing.T) {
 	f := testFetcher([]byte("a"), []byte("b"))
 	now := time.Now()
-	assert.True(t, f.originsTurn(0, 0, now))
-	f.origins, f.inFlight[0] = 1, true
-	f.take(fetched{piece: 0, peer: atOrigin, err: errors.New("connection refused")})
+	assert.True(t, f.originDue(0, 0, now))
+	f.originFetches, f.inFlight[0] = 1, true
+	f.handleResult(fetchResult{piece: 0, peer: originPeer, err: errors.New("connection refused")})
 	now = time.Now()
-	assert.False(t, f.originsTurn(0, 0, now), "at once")
-	assert.False(t, f.originsTurn(1, 0, now), "for another piece")
-	assert.True(t, f.originsTurn(0, 0, now.Add(originPause+1)))
+	assert.False(t, f.originDue(0, 0, now), "immediately after the failure")
+	assert.False(t, f.originDue(1, 0, now), "another piece")
+	assert.True(t, f.originDue(0, 0, now.Add(originBackoff+1)))
 }
 
-func TestCorruptedBytesOfTheOriginAreAskedForAgainAtOnce(t *testing.T) {
+func TestCorruptedPieceFromOriginIsRetriedImmediately(t *testing.T) {
 	f := testFetcher([]byte("a"))
-	f.origins, f.inFlight[0] = 1, true
-	f.take(fetched{piece: 0, peer: atOrigin, data: []byte("b")})
+	f.originFetches, f.inFlight[0] = 1, true
+	f.handleResult(fetchResult{piece: 0, peer: originPeer, data: []byte("b")})
 	assert.Len(t, f.set.missing(), 1)
-	assert.True(t, f.originsTurn(0, 0, time.Now()))
+	assert.True(t, f.originDue(0, 0, time.Now()))
 }
 
-func TestOriginIsNotAskedBeforeTheEngineHasTold(t *testing.T) {
+func TestOriginIsNotAskedBeforeFirstEngineReport(t *testing.T) {
 	f := testFetcher([]byte("a"))
 	f.s.reported.Store(false)
-	assert.False(t, f.originsTurn(0, 0, time.Now()), "the engine may hold it")
+	assert.False(t, f.originDue(0, 0, time.Now()), "the engine may have the piece")
 	f.s.reported.Store(true)
-	assert.True(t, f.originsTurn(0, 0, time.Now()))
+	assert.True(t, f.originDue(0, 0, time.Now()))
 }
 
 func TestPeerWaitsForAnUploadSlot(t *testing.T) {
 	s := &server{stager: New(Config{Logger: zerolog.Nop()})}
 	for range maxUploads {
-		assert.True(t, s.takeSlot(t.Context(), 0))
+		assert.True(t, s.acquireSlot(t.Context(), 0))
 	}
-	assert.False(t, s.takeSlot(t.Context(), time.Millisecond))
+	assert.False(t, s.acquireSlot(t.Context(), time.Millisecond))
 	go func() { <-s.stager.slots }()
-	assert.True(t, s.takeSlot(t.Context(), time.Minute))
+	assert.True(t, s.acquireSlot(t.Context(), time.Minute))
 }
 
-func TestWhatLiesAtTheEngineIsTakenInOnce(t *testing.T) {
+func TestStagedPiecesAreImportedOnce(t *testing.T) {
 	set := newPieceSet(nil)
-	assert.True(t, set.takeStagedNow())
-	assert.False(t, set.takeStagedNow())
+	assert.True(t, set.startImport())
+	assert.False(t, set.startImport())
 }
 
-func TestTurnsOfAgentsThatAreGoneGoToOthers(t *testing.T) {
+func TestAgentsThatRefuseConnectionsAreNotRanked(t *testing.T) {
 	f := testFetcher([]byte("a"))
 	servers := []*fleet.BackendServer{{ID: "1", Addr: "127.0.0.1:1", Service: "s", Zone: "here"}}
 	piece := 0
@@ -90,32 +90,32 @@
 	f.s.cfg.View = func() *follow.View { return &follow.View{Servers: map[string][]*fleet.BackendServer{"s": servers}} }
 	now := time.Now()
 	f.refresh(now)
-	for f.s.turn(f.servers, piece) == 0 {
+	for f.s.rankAmong(f.servers, piece) == 0 {
 		piece++
 	}
-	before := f.s.turn(f.servers, piece)
+	before := f.s.rankAmong(f.servers, piece)
 	require.Positive(t, before)
 	for _, b := range servers[1:] {
-		f.downs++
-		f.take(fetched{piece: piece, peer: f.s.cfg.PeerAddr(b.Addr), err: fmt.Errorf("dial: %w", syscall.ECONNREFUSED)})
+		f.downloads++
+		f.handleResult(fetchResult{piece: piece, peer: f.s.cfg.PeerAddr(b.Addr), err: fmt.Errorf("dial: %w", syscall.ECONNREFUSED)})
 	}
 	f.refresh(time.Now())
-	assert.Zero(t, f.s.turn(f.servers, piece), "all others refuse")
-	f.refresh(time.Now().Add(refusedPause + refreshInterval))
-	assert.Equal(t, before, f.s.turn(f.servers, piece), "they are tried again")
+	assert.Zero(t, f.s.rankAmong(f.servers, piece), "all others refuse")
+	f.refresh(time.Now().Add(refusedBackoff + refreshInterval))
+	assert.Equal(t, before, f.s.rankAmong(f.servers, piece), "they are ranked again after the backoff")
 }
 
-func TestLoadsAreSpreadOverTheTimeThatIsLeft(t *testing.T) {
+func TestLoadsAreSpreadOverRemainingTime(t *testing.T) {
 	const bound = 10 * time.Second
 	assert.Equal(t, 3800*time.Millisecond, loadTime(bound, time.Second, 0))
 	assert.Equal(t, 8700*time.Millisecond, loadTime(bound, time.Second, 1))
-	assert.Equal(t, 7*time.Second, loadTime(bound, 7*time.Second, 0), "pieces that come late")
+	assert.Equal(t, 7*time.Second, loadTime(bound, 7*time.Second, 0), "pieces arrive late")
 	assert.Equal(t, 7850*time.Millisecond, loadTime(bound, 7*time.Second, 0.5))
 	assert.Equal(t, 8700*time.Millisecond, loadTime(bound, 7*time.Second, 1))
-	assert.Equal(t, 9*time.Second, loadTime(bound, 9*time.Second, 1), "no time is left")
+	assert.Equal(t, 9*time.Second, loadTime(bound, 9*time.Second, 1), "no time remains")
 }
 
-func TestCompletionIsNoted(t *testing.T) {
+func TestCompletionTimeIsRecorded(t *testing.T) {
 	f := testFetcher([]byte("a"), []byte("b"))
 	f.set.put(0, []byte("a"))
 	assert.True(t, f.set.completedAt().IsZero())
--- a/internal/staging/fetched.go
+++ b/internal/staging/fetched.go
@@ -9,37 +9,38 @@
 	"lynxgate.dev/lynxgate/internal/clock"
 )
 
-// atOrigin stands for the origin where else a peer's address stands.
-const atOrigin = ""
+// originPeer is used in place of a peer's address for the origin.
+const originPeer = ""
 
-// fetched is how one fetch ended.
-type fetched struct {
+// fetchResult is the result of one fetch.
+type fetchResult struct {
 	piece int
-	peer  string // or atOrigin
-	// direct: asked of the agent whose turn at the origin it is.
+	peer  string // or originPeer
+	// direct: requested from the agent that is first to fetch the piece from the origin.
 	direct bool
 	data   []byte
 	err    error
-	// took is the time of the fetch without its wait at the peer; beside is how many
-	// shared the link with it at its start or its end, itself among them.
-	took   time.Duration
-	beside int
+	// took is the duration of the fetch without the wait at the peer; concurrent is the number
+	// of fetches on the link at its start or its end, whichever is higher, including itself.
+	took       time.Duration
+	concurrent int
 }
 
-// errHeld ends a fetch, begun while the engine was starting, of what it holds.
-var errHeld = errors.New("the engine holds it already")
+// errAlreadyLoaded ends a fetch that began before the engine reported that it has this version or
+// a newer one.
+var errAlreadyLoaded = errors.New("the engine already has this version")
 
-// errOvertaken ends a fetch when a newer version has been named.
-var errOvertaken = errors.New("a newer version was named")
+// errSuperseded ends a fetch when another version is to be fetched first.
+var errSuperseded = errors.New("superseded by another version")
 
-// errPeerBusy says that a peer sends to others, or has not got the piece.
+// errPeerBusy reports that a peer has no free upload slot or does not have the piece.
 var errPeerBusy = errors.New("peer is busy")
 
-// errDigest says that bytes are not those of the piece.
+// errDigest reports that the bytes received do not match the digest of the piece.
 var errDigest = errors.New("digest does not match")
 
-// run makes one fetch and hands its result to the fetcher.
-func (f *fetcher) run(ctx context.Context, r fetched, get func(context.Context) ([]byte, time.Duration, error)) {
+// run executes one fetch and passes its result to the fetcher.
+func (f *fetcher) run(ctx context.Context, r fetchResult, get func(context.Context) ([]byte, time.Duration, error)) {
 	callCtx, cancel := context.WithTimeout(ctx, pieceTimeout)
 	defer cancel()
 	began := clock.Now()
@@ -52,24 +53,25 @@
 	}
 }
 
-// take takes the result of one fetch in.
-func (f *fetcher) take(r fetched) {
+// handleResult processes the result of one fetch.
+func (f *fetcher) handleResult(r fetchResult) {
 	delete(f.inFlight, r.piece)
 	source := "origin"
 	switch {
-	case r.peer == atOrigin:
-		f.origins--
-		f.noteOrigin(r.err, clock.Now())
+	case r.peer == originPeer:
+		f.originFetches--
+		f.recordOrigin(r.err, clock.Now())
 	case r.direct:
 		source = "peer"
-		f.directs--
-		// It may still be to come; beyond that time others are asked.
-		f.asked[r.piece] = r.err == nil || clock.Since(f.began) > f.g.originTime()
+		f.directRequests--
+		// Before originTime has passed, a peer without the piece may still get it and is
+		// asked again; after it, other sources are used.
+		f.askedDirectly[r.piece] = r.err == nil || clock.Since(f.began) > f.g.originTime()
 	default:
 		source = "peer"
-		r.beside = max(r.beside, f.downs)
-		f.noteLink(r)
-		f.downs--
+		r.concurrent = max(r.concurrent, f.downloads)
+		f.observeLink(r)
+		f.downloads--
 		delete(f.busy, r.peer)
 	}
 	if r.err == nil && !f.set.put(r.piece, r.data) {
@@ -77,7 +79,7 @@
 		f.dropHolder(r.peer, r.piece)
 	}
 	if r.err != nil {
-		f.pauseAfter(r)
+		f.startBackoff(r)
 		f.s.cfg.Metrics.failures.WithLabelValues(source).Inc()
 		if !errors.Is(r.err, errPeerBusy) {
 			f.s.log.Warn().Err(r.err).Int("piece", r.piece).Str("source", source).Str("peer", r.peer).Msg("piece not fetched")
@@ -88,59 +90,59 @@
 	f.s.cfg.Metrics.bytes.WithLabelValues(source).Add(float64(len(r.data)))
 }
 
-// dropHolder notes that a peer does not hold a piece after all.
+// dropHolder removes a piece from those that a peer has announced.
 func (f *fetcher) dropHolder(peer string, piece int) {
 	if f.holders[peer][piece] {
 		delete(f.holders[peer], piece)
-		f.count[piece]--
+		f.peerCount[piece]--
 	}
 }
 
-// originDownFor is for how long a failure of the origin is taken to last: agents that want
-// pieces of it try again every originPause.
-const originDownFor = 2 * time.Second
+// originDownTimeout is how long the origin is considered down after a failure. Agents that need
+// pieces from it retry every originBackoff.
+const originDownTimeout = 2 * time.Second
 
-// noteOrigin notes how a fetch from the origin ended. One that failed may have failed for
-// all: what is missing is asked for in order once more, from now on.
-func (f *fetcher) noteOrigin(err error, now time.Time) {
-	f.s.noteOrigin(err, now)
+// recordOrigin records the result of a fetch from the origin. After a failure, which may affect
+// all agents, the missing pieces are scheduled anew.
+func (f *fetcher) recordOrigin(err error, now time.Time) {
+	f.s.recordOrigin(err, now)
 	if err != nil && !errors.Is(err, context.Canceled) {
 		f.schedule = nil
 	}
 }
 
-// noteOrigin notes how a fetch from the origin ended.
-func (s *Stager) noteOrigin(err error, now time.Time) {
+// recordOrigin records the result of a fetch from the origin.
+func (s *Stager) recordOrigin(err error, now time.Time) {
 	switch {
 	case err == nil:
-		s.originSentAt.Store(int64(now.Sub(s.start)))
+		s.originServedAt.Store(int64(now.Sub(s.start)))
 	case !errors.Is(err, context.Canceled):
 		s.originFailedAt.Store(int64(now.Sub(s.start)))
 	}
 }
 
-// noteOriginHeard notes that a peer has told of something that it must have from the origin:
-// that one answers others.
-func (s *Stager) noteOriginHeard(now time.Time) { s.originSentAt.Store(int64(now.Sub(s.start))) }
+// recordOriginServes records that a peer has received data from the origin, so that the origin
+// serves other agents.
+func (s *Stager) recordOriginServes(now time.Time) { s.originServedAt.Store(int64(now.Sub(s.start))) }
 
-// originFails tells whether the origin failed lately and has not answered anybody since, as
-// far as is known here. Judged by an agent's own fetches alone, agents would differ, and the swarm
-// go for two versions at once after the origin's return.
-func (s *Stager) originFails(now time.Time) bool {
+// originDown reports whether the origin failed recently and is not known to have served any
+// agent since. With only their own fetches as evidence, agents would differ in this, and the
+// swarm would fetch two versions at once after the origin has recovered.
+func (s *Stager) originDown(now time.Time) bool {
 	failed := s.originFailedAt.Load()
-	return failed > s.originSentAt.Load() && now.Sub(s.start)-time.Duration(failed) < originDownFor
+	return failed > s.originServedAt.Load() && now.Sub(s.start)-time.Duration(failed) < originDownTimeout
 }
 
-// pauseAfter spares the source of a failed fetch for a while. Bytes of the origin
-// that were corrupted on the way are asked for again at once: it is the only source.
-func (f *fetcher) pauseAfter(r fetched) {
+// startBackoff starts a backoff for the source of a failed fetch. A piece from the origin that
+// was corrupted in transit is requested again immediately, because there is no other source.
+func (f *fetcher) startBackoff(r fetchResult) {
 	now := clock.Now()
 	switch {
-	case r.peer != atOrigin && errors.Is(r.err, syscall.ECONNREFUSED):
-		f.noteRefused(r.peer, now)
-	case r.peer != atOrigin:
-		f.badUntil[r.peer] = now.Add(badPause)
+	case r.peer != originPeer && errors.Is(r.err, syscall.ECONNREFUSED):
+		f.excludePeer(r.peer, now)
+	case r.peer != originPeer:
+		f.backoffUntil[r.peer] = now.Add(peerBackoff)
 	case !errors.Is(r.err, errDigest):
-		f.badUntil[atOrigin] = now.Add(originPause)
+		f.backoffUntil[originPeer] = now.Add(originBackoff)
 	}
 }
--- a/internal/staging/goal.go
+++ b/internal/staging/goal.go
@@ -8,13 +8,13 @@
 	"lynxgate.dev/lynxgate/internal/ledger"
 )
 
-// wanted returns the versions to have at hand, in the order in which to fetch them:
-// the next one to load, then the newest. Pieces are fetched while the engine is still
-// starting, from peers only: whether it holds them already is not known. A VM that is
-// added serves earlier by that, since its engine starts later than its agent.
+// wanted returns the versions to fetch, in order: the next one to load, then the newest.
+// While the engine is still starting, pieces are fetched only from peers, because the
+// engine may have them already. This lets an added VM serve earlier, as its engine starts
+// later than its agent.
 func (s *Stager) wanted() []goal {
 	next, ok := s.goal()
-	if !ok || !s.reported.Load() && !s.absent.Load() {
+	if !ok || !s.reported.Load() && !s.engineDown.Load() {
 		return nil
 	}
 	newest := next
@@ -25,8 +25,8 @@
 	return []goal{next}
 }
 
-// overtaken tells whether another version than g is to be fetched first.
-func (s *Stager) overtaken(g goal) bool {
+// superseded reports whether another version than g is to be fetched first.
+func (s *Stager) superseded(g goal) bool {
 	for _, other := range s.wanted() {
 		if other.version == g.version {
 			return false
@@ -38,21 +38,21 @@
 	return true
 }
 
-// goal is the version that the engine is to hold.
+// goal is the version that the engine is to load.
 type goal struct {
 	model   string
 	version uint64
 	engine  *fleet.Engine
 	origin  *fleet.Origin
-	// named is the version as it was named; zero if it never was.
+	// named is the ledger entry of the version; zero if it was never named.
 	named ledger.Version
 }
 
-// firstVersion is the one that is in use before any is named: backend servers that are
-// there when the system starts may hold it.
+// firstVersion is the version in use before any is named. Backend servers may have it
+// loaded when the system starts.
 const firstVersion = 1
 
-// goal returns what the engine is to hold; false while that is not known.
+// goal returns the version that the engine is to load; false while it is unknown.
 func (s *Stager) goal() (goal, bool) {
 	view := s.cfg.View()
 	if view.Table == nil {
@@ -65,88 +65,88 @@
 	}
 	g := goal{model: service.Engine.Models[0], version: firstVersion, engine: service.Engine, origin: origin}
 	if v, ok := view.Versions[g.model]; ok && v.Number > g.version {
-		v = s.nearest(g, v)
+		v = s.chooseVersion(g, v)
 		g.version, g.named = v.Number, v
 	}
 	return g, true
 }
 
-// nearest returns the version to go for: the newest, or the one before it if most
-// of that had time to arrive before the newest was named. To begin anew would leave
-// the engines without a version that may be used. All agents judge by the same
-// times, so that they go for the same.
-func (s *Stager) nearest(g goal, newest ledger.Version) ledger.Version {
+// chooseVersion returns the version to fetch: the newest, or the previous one if most of
+// it had time to arrive before the newest was named. Starting over with the newest would
+// then leave the engines without a version that may be used. The choice depends on the
+// same times at all agents, so that they choose the same version.
+func (s *Stager) chooseVersion(g goal, newest ledger.Version) ledger.Version {
 	before := newest.Previous
 	if before == nil || before.Number == 0 || clock.Since(before.AppliedAt) > s.cfg.VersionBound {
 		return newest
 	}
-	if s.holding.Load() >= before.Number {
+	if s.engineVersion.Load() >= before.Number {
 		return newest
 	}
 	older := s.sets.get(key{g.model, before.Number})
 	choice := versionChoice{
-		gap: newest.AppliedAt.Sub(before.AppliedAt), spread: s.spreadTime(g),
+		gap: newest.AppliedAt.Sub(before.AppliedAt), spread: s.distributionTime(g),
 		age: clock.Since(before.AppliedAt), originTime: g.originTime(), pieces: g.engine.Pieces,
-		originFails: s.originFails(clock.Now()), newerKnown: s.sets.get(key{g.model, newest.Number}) != nil,
-		olderAtHand: older.atHand(), newerAtHand: s.sets.get(key{g.model, newest.Number}).atHand(),
+		originDown: s.originDown(clock.Now()), newerKnown: s.sets.get(key{g.model, newest.Number}) != nil,
+		olderAvailable: older.available(), newerAvailable: s.sets.get(key{g.model, newest.Number}).available(),
 	}
 	chosen := newest
-	if olderFirst(choice) {
+	if preferOlder(choice) {
 		chosen = *before
 	}
-	if s.goingFor.Swap(chosen.Number) != chosen.Number {
+	if s.chosenVersion.Swap(chosen.Number) != chosen.Number {
 		s.log.Info().Str("model", g.model).Uint64("version", chosen.Number).Uint64("older", before.Number).Uint64("newer", newest.Number).
-			Dur("gap_ms", choice.gap).Dur("spread_ms", choice.spread).Bool("origin_fails", choice.originFails).
-			Bool("newer_known", choice.newerKnown).Int("older_at_hand", choice.olderAtHand).Int("newer_at_hand", choice.newerAtHand).
+			Dur("gap_ms", choice.gap).Dur("spread_ms", choice.spread).Bool("origin_fails", choice.originDown).
+			Bool("newer_known", choice.newerKnown).Int("older_at_hand", choice.olderAvailable).Int("newer_at_hand", choice.newerAvailable).
 			Msg("version to go for chosen")
 	}
 	return chosen
 }
 
-// versionChoice is what decides which of two versions to go for that were named one after
-// the other.
+// versionChoice is the input of preferOlder: the state of two versions that were named
+// one shortly after the other.
 type versionChoice struct {
-	// gap is the time between their namings, spread the time in which a version comes to
-	// all agents.
+	// gap is the time between the two namings, spread the time that a version takes to
+	// reach all agents.
 	gap, spread time.Duration
-	// age is how long ago the older one was named, originTime how long the origin's link
-	// takes for a copy of so many pieces.
+	// age is the time since the older one was named, originTime the time that the origin's
+	// link takes for one copy, and pieces the number of pieces of a copy.
 	age, originTime time.Duration
 	pieces          int
-	// originFails: the origin does not answer now.
-	originFails bool
-	// newerKnown: the digests of the newer one are here, so that its pieces can be fetched.
+	// originDown: the origin is down.
+	originDown bool
+	// newerKnown: the digests of the newer one are known, so that its pieces can be fetched.
 	newerKnown bool
-	// olderAtHand and newerAtHand are how many pieces of each are held by agents.
-	olderAtHand, newerAtHand int
+	// olderAvailable and newerAvailable are the number of pieces of each that this agent or a
+	// peer has.
+	olderAvailable, newerAvailable int
 }
 
-// mostPart of the origin's time for a copy is from when on a version is let out whole.
-const mostPart = 0.75
+// nearlySentShare is the share of originTime from which on the older version is completed.
+const nearlySentShare = 0.75
 
-// olderFirst tells whether to go for the older of two versions. It is worth it only if it
-// is in use before the newer one could be: where it had the time to come to all agents
-// before the newer one was named, or where the newer one can't come since the origin does
-// not answer. Else each engine would load twice, the second time as the bound of the older
-// one passes.
-func olderFirst(c versionChoice) bool {
+// preferOlder reports whether to fetch the older of two versions first. That pays only if the
+// older one can be in use before the newer one: if it had the time to reach all agents before
+// the newer one was named, or if the newer one cannot be fetched because the origin is down.
+// Otherwise each engine would load twice, the second time when the older one's bound expires.
+func preferOlder(c versionChoice) bool {
 	switch {
 	case c.gap >= c.spread:
 		return true
 	case !c.newerKnown:
-		return c.olderAtHand > 0
-	case c.originFails:
-		return c.olderAtHand > c.newerAtHand
+		return c.olderAvailable > 0
+	case c.originDown:
+		return c.olderAvailable > c.newerAvailable
 	}
-	// What has most of the way from the origin behind it is let out whole, in case that the
-	// origin fails next: agents can then complete it among them.
-	nearlyOut := float64(c.gap) >= mostPart*float64(c.originTime) && c.age < 2*c.originTime
-	return nearlyOut && c.olderAtHand < c.pieces
+	// A version of which the origin has sent most is completed in case the origin fails next:
+	// the agents can then fetch it from each other.
+	nearlySent := float64(c.gap) >= nearlySentShare*float64(c.originTime) && c.age < 2*c.originTime
+	return nearlySent && c.olderAvailable < c.pieces
 }
 
-// spreadTime is in what time a version comes to all agents: it leaves the origin, and each
-// agent receives it and passes it on meanwhile.
-func (s *Stager) spreadTime(g goal) time.Duration {
+// distributionTime returns the time that a version takes to reach all agents: the time on the
+// origin's link and on one agent's link, since agents forward pieces while they receive others.
+func (s *Stager) distributionTime(g goal) time.Duration {
 	spread := g.originTime()
 	if s.cfg.LinkMbps > 0 {
 		spread += timeOnLink(g.engine.Pieces*g.engine.PieceBytes, s.cfg.LinkMbps)
@@ -154,7 +154,7 @@
 	return spread
 }
 
-// originTime is how long the origin's link takes for one copy.
+// originTime returns the time that the origin's link takes for one copy; 0 if unknown.
 func (g goal) originTime() time.Duration {
 	if g.origin.LinkMbps <= 0 {
 		return 0
@@ -164,7 +164,7 @@
 
 func (g goal) key() key { return key{g.model, g.version} }
 
-// age is how long ago the version was named; 0 if it never was.
+// age returns the time since the version was named; 0 if it was never named.
 func (g goal) age() time.Duration {
 	if g.named.Number == 0 {
 		return 0
--- a/internal/staging/link_test.go
+++ b/internal/staging/link_test.go
@@ -10,66 +10,67 @@
 	"lynxgate.dev/lynxgate/internal/fleet"
 )
 
-// linkFetcher is of an agent on a link on which a piece takes 25 ms.
+// linkFetcher returns a fetcher on a link on which a piece takes 25 ms.
 func linkFetcher() *fetcher {
 	f := testFetcher([]byte("a"))
 	f.s.cfg.LinkMbps = 8
 	f.g.engine = &fleet.Engine{PieceBytes: 25_000}
-	f.s.holding.Store(1)
+	f.s.engineVersion.Store(1)
 	return f
 }
 
-// fetchedIn takes in a fetch that took this long beside others.
-func fetchedIn(f *fetcher, took time.Duration, beside int, err error) {
-	f.downs = beside
-	f.take(fetched{piece: 0, peer: "p", took: took, beside: beside, data: []byte("b"), err: err})
-	f.downs = 0
+// handleFetch processes the result of a fetch that took this long, with the given number of
+// concurrent fetches.
+func handleFetch(f *fetcher, took time.Duration, concurrent int, err error) {
+	f.downloads = concurrent
+	f.handleResult(fetchResult{piece: 0, peer: "p", took: took, concurrent: concurrent, data: []byte("b"), err: err})
+	f.downloads = 0
 }
 
-func TestOnePieceAtATimeOnANarrowLink(t *testing.T) {
+func TestOneFetchAtATimeOnNarrowLink(t *testing.T) {
 	f := linkFetcher()
 	for range 10 {
-		fetchedIn(f, 80*time.Millisecond, 3, nil)
+		handleFetch(f, 80*time.Millisecond, 3, nil)
 	}
-	assert.Equal(t, maxDownloads, f.mostDownloads(), "as it should be")
+	assert.Equal(t, maxDownloads, f.downloadLimit(), "the link has its configured bandwidth")
 	for range 10 {
-		fetchedIn(f, 600*time.Millisecond, 3, nil)
+		handleFetch(f, 600*time.Millisecond, 3, nil)
 	}
-	assert.Equal(t, 1, f.mostDownloads())
-	f.origins = 1
-	assert.Equal(t, 0, f.mostDownloads(), "the origin sends one")
-	f.origins, f.downs = 0, 1
-	assert.False(t, f.originsTurn(0, 0, time.Now().Add(time.Minute)), "a peer sends one")
+	assert.Equal(t, 1, f.downloadLimit())
+	f.originFetches = 1
+	assert.Equal(t, 0, f.downloadLimit(), "a fetch from the origin is in flight")
+	f.originFetches, f.downloads = 0, 1
+	assert.False(t, f.originDue(0, 0, time.Now().Add(time.Minute)), "a fetch from a peer is in flight")
 	for range 10 {
-		fetchedIn(f, 30*time.Millisecond, 1, nil)
+		handleFetch(f, 30*time.Millisecond, 1, nil)
 	}
-	assert.Equal(t, maxDownloads, f.mostDownloads(), "the link is wide again")
+	assert.Equal(t, maxDownloads, f.downloadLimit(), "the link is no longer narrow")
 }
 
-func TestFetchesThatTimeOutMakeALinkNarrow(t *testing.T) {
+func TestTimeoutsMakeLinkNarrow(t *testing.T) {
 	f := linkFetcher()
-	for range 3 { // those that were asked at once
-		fetchedIn(f, pieceTimeout, 3, context.DeadlineExceeded)
+	for range 3 { // concurrent fetches
+		handleFetch(f, pieceTimeout, 3, context.DeadlineExceeded)
 	}
-	assert.Equal(t, 1, f.mostDownloads())
+	assert.Equal(t, 1, f.downloadLimit())
 }
 
-func TestOneSlowPeerDoesNotMakeTheLinkNarrow(t *testing.T) {
+func TestOneSlowPeerDoesNotMakeLinkNarrow(t *testing.T) {
 	f := linkFetcher()
 	for i := range 60 {
 		took := 80 * time.Millisecond
 		if i%6 == 0 {
 			took = 600 * time.Millisecond
 		}
-		fetchedIn(f, took, 3, nil)
+		handleFetch(f, took, 3, nil)
 		assert.False(t, f.link.narrow())
 	}
 }
 
-func TestRefusalsOfBusyPeersTellNothingOfTheLink(t *testing.T) {
+func TestBusyPeersDoNotMakeLinkNarrow(t *testing.T) {
 	f := linkFetcher()
 	for range 10 {
-		fetchedIn(f, uploadWait, 1, errPeerBusy)
+		handleFetch(f, uploadWait, 1, errPeerBusy)
 	}
 	assert.False(t, f.link.narrow())
 }
--- a/internal/staging/load.go
+++ b/internal/staging/load.go
@@ -9,20 +9,20 @@
 	"lynxgate.dev/lynxgate/internal/clock"
 )
 
-// load lays what was spoilt anew and orders the engine to load.
+// load verifies the staged pieces, replaces corrupted ones and orders the engine to load.
 func (s *Stager) load(ctx context.Context, g goal, set *pieceSet, report Report) {
 	if clock.Since(s.orderedAt) < orderRetry {
 		return
 	}
 	began, err := s.verified(ctx, g, set)
 	if err != nil {
-		s.log.Warn().Err(err).Str("model", g.model).Uint64("version", g.version).Msg("staged weights not verified")
+		s.log.Warn().Err(err).Str("model", g.model).Uint64("version", g.version).Msg("verifying the staged weights failed")
 		return
 	}
 	s.loading = true
-	s.tell(report) // entries stop to send before the engine stops to take
-	if age := s.now().Sub(began); age > verifiedFor {
-		s.loading = false // the next report says so
+	s.sendReport(report) // entries must stop sending requests before the engine stops accepting them
+	if age := s.now().Sub(began); age > verificationMaxAge {
+		s.loading = false // sent with the next report
 		s.log.Warn().Dur("age_ms", age).Str("model", g.model).Uint64("version", g.version).
 			Msg("staged weights were verified too long ago; verifying again")
 		return
@@ -37,21 +37,21 @@
 		Dur("since_named_ms", g.age()).Msg("engine ordered to load")
 }
 
-// verified returns when the verification of what lies at the engine began; one that was
-// made a moment ago is relied on.
+// verified verifies the staged pieces unless that was done recently, and returns when the
+// verification began.
 func (s *Stager) verified(ctx context.Context, g goal, set *pieceSet) (time.Time, error) {
 	now := s.now()
-	if began, ok := s.atEngine.lately(g.key(), now); ok {
+	if began, ok := s.verification.recent(g.key(), now); ok {
 		return began, nil
 	}
 	return now, s.verifyStaged(ctx, g, set)
 }
 
-// verifyStaged reads all pieces back from the engine and lays those anew that
-// were spoilt: the engine takes them in unchecked.
+// verifyStaged reads all pieces back from the engine and replaces those that are missing or
+// corrupted, because the engine does not check them.
 func (s *Stager) verifyStaged(ctx context.Context, g goal, set *pieceSet) error {
 	began := s.now()
-	s.atEngine.laying(g.key(), began)
+	s.verification.stagingBegan(g.key(), began)
 	for i, digest := range set.digests {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		data, err := s.cfg.Engine.Get(callCtx, g.model, i)
@@ -70,39 +70,40 @@
 		}
 		s.cfg.Metrics.relaid.Inc()
 	}
-	s.atEngine.note(g.key(), began)
+	s.verification.record(g.key(), began)
 	return nil
 }
 
-// loadWindow is the part of the bound on a version in which engines that serve
-// are ordered to load, one after the other: an engine that loads takes nothing
-// new until its requests have ended.
+// Engines that serve are ordered to load one after the other, from loadWindowStart to
+// loadWindowEnd as shares of VersionBound: an engine that has an order to load accepts no
+// new requests until those in progress have ended.
 const (
 	loadWindowStart = 0.38
 	loadWindowEnd   = 0.85
-	// loadMargin is how long before the bound the last engine is ordered to load at
-	// the latest: entries stop to use old weights 1 s before it.
+	// loadMargin is the minimum time before the bound at which the last engine is ordered
+	// to load: entries stop using the old weights 1 s before the bound.
 	loadMargin = 1300 * time.Millisecond
 )
 
-// mayLoad spreads the loads of engines that serve over the time allowed.
-func (s *Stager) mayLoad(g goal, held uint64, set *pieceSet) bool {
-	// What is held must not be used VersionBound after the next version was named,
-	// which may have been before the newest one.
-	named := g.named.NamedAfter(held)
+// mayLoad reports whether an engine that serves may be ordered to load now. It spreads the
+// loads over the load window.
+func (s *Stager) mayLoad(g goal, loaded uint64, set *pieceSet) bool {
+	// The loaded version must not be used after VersionBound from the naming of the version
+	// that followed it, which may be older than the newest one.
+	named := g.named.NamedAfter(loaded)
 	if named.IsZero() {
 		return true
 	}
-	rank, n := s.rank()
+	rank, n := s.loadRank()
 	share := float64(rank) / float64(max(n-1, 1))
 	return clock.Since(named) >= loadTime(s.cfg.VersionBound, set.completedAt().Sub(named), share)
 }
 
-// loadTime returns how long after the naming of a version an engine is ordered to
-// load, which comes after this share of the others and has the pieces since complete.
-// Where they come late, as from an origin that was down, what is left of the time is
-// shared: on a day with that, 58 of 59 engines loaded at once, and nothing was served
-// for 1.5 s.
+// loadTime returns how long after the naming of a version an engine is ordered to load. share
+// is the share of the engines that load before it, and complete the time after the naming at
+// which it had all pieces. If the pieces arrive late, for example because the origin was
+// down, the loads are spread over the remaining time: without that, 58 of 59 engines loaded
+// at once and no request was served for 1.5 s.
 func loadTime(bound, complete time.Duration, share float64) time.Duration {
 	begin := max(time.Duration(loadWindowStart*float64(bound)), complete)
 	end := max(time.Duration(loadWindowEnd*float64(bound)), bound-loadMargin)
--- a/internal/staging/load_test.go
+++ b/internal/staging/load_test.go
@@ -15,8 +15,8 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// stagingEngine is a fake engine that holds staged pieces; read is called after each
-// piece that was read.
+// stagingEngine is a fake engine with staged pieces; read is called after each read of a
+// piece.
 type stagingEngine struct {
 	staged [][]byte
 	loaded [][]byte
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// loadingStager has all pieces of a version, which lie at the engine, too.
+// loadingStager returns a stager that has all pieces of a version, which are also staged at
+// the engine.
 func loadingStager(t *testing.T, e *stagingEngine, clock *time.Time, pieces ...[]byte) (*Stager, goal, *pieceSet) {
 	t.Helper()
 	s := New(Config{
@@ -68,15 +69,15 @@
 	return s, goal{model: "m", version: 2, engine: &fleet.Engine{Pieces: len(pieces)}}, set
 }
 
-func TestWeightsThatWereVerifiedLongAgoAreNotLoaded(t *testing.T) {
+func TestStaleVerificationIsNotUsedForLoad(t *testing.T) {
 	good := [][]byte{[]byte("a"), []byte("b")}
 	clock := time.Unix(1000, 0)
-	stood := false
+	suspended := false
 	e := &stagingEngine{}
 	e.read = func(piece int) {
-		if piece == 1 && !stood {
-			// The process stands still, and what it has verified turns bad.
-			stood = true
+		if piece == 1 && !suspended {
+			// The process is suspended, and a verified piece becomes corrupted.
+			suspended = true
 			clock = clock.Add(4 * time.Second)
 			e.staged[0] = []byte("bad")
 		}
@@ -84,47 +85,47 @@
 	s, g, set := loadingStager(t, e, &clock, good...)
 	s.load(t.Context(), g, set, Report{})
 	assert.Empty(t, e.loaded, "verified 4 s ago")
-	assert.False(t, s.loading, "entries may send to it")
+	assert.False(t, s.loading, "entries may send requests to the engine")
 	s.load(t.Context(), g, set, Report{})
 	assert.Equal(t, good, e.loaded)
 	assert.True(t, s.loading)
 }
 
-func TestWhatWasVerifiedAMomentAgoIsNotReadAgain(t *testing.T) {
+func TestRecentVerificationIsReused(t *testing.T) {
 	good := [][]byte{[]byte("a"), []byte("b")}
 	clock := time.Unix(1000, 0)
 	reads := 0
 	e := &stagingEngine{read: func(int) { reads++ }}
 	s, g, set := loadingStager(t, e, &clock, good...)
-	s.takeStaged(t.Context(), g, set) // it lay there before this agent started
+	s.importStaged(t.Context(), g, set) // staged before this agent started
 	assert.Equal(t, 2, reads)
 	s.load(t.Context(), g, set, Report{})
 	assert.Equal(t, 2, reads)
 	assert.Equal(t, good, e.loaded)
 
-	clock = clock.Add(reliedOn + time.Millisecond)
+	clock = clock.Add(verificationReuse + time.Millisecond)
 	s.orderedAt = time.Time{}
 	s.load(t.Context(), g, set, Report{})
-	assert.Equal(t, 4, reads, "it may have turned bad since")
+	assert.Equal(t, 4, reads, "the verification is too old")
 
 	other := g
 	other.version = 3
-	s.atEngine.laying(other.key(), clock)
+	s.verification.stagingBegan(other.key(), clock)
 	s.orderedAt = time.Time{}
 	s.load(t.Context(), g, set, Report{})
-	assert.Equal(t, 6, reads, "another version was laid meanwhile")
-	s.noteStart(1000)
-	s.noteStart(2000)
+	assert.Equal(t, 6, reads, "another version was staged since")
+	s.checkRestart(1000)
+	s.checkRestart(2000)
 	s.load(t.Context(), g, set, Report{})
-	assert.Equal(t, 8, reads, "the engine has started again")
+	assert.Equal(t, 8, reads, "the engine has restarted")
 }
 
-func TestWhatIsSpoiltWhenItIsTakenInIsVerifiedAgain(t *testing.T) {
+func TestCorruptedPieceIsReplacedBeforeLoad(t *testing.T) {
 	clock := time.Unix(1000, 0)
 	e := &stagingEngine{read: func(int) {}}
 	s, g, set := loadingStager(t, e, &clock, []byte("a"), []byte("b"))
 	e.staged[1] = []byte("bad")
-	s.takeStaged(t.Context(), g, set)
+	s.importStaged(t.Context(), g, set)
 	s.load(t.Context(), g, set, Report{})
-	assert.Equal(t, [][]byte{[]byte("a"), []byte("b")}, e.loaded, "laid anew")
+	assert.Equal(t, [][]byte{[]byte("a"), []byte("b")}, e.loaded, "the corrupted piece was replaced")
 }
--- a/internal/staging/peers.go
+++ b/internal/staging/peers.go
@@ -8,65 +8,65 @@
 	"lynxgate.dev/lynxgate/internal/fleet"
 )
 
-// refresh takes over who there is, from time to time.
+// refresh updates the servers unless that was done within refreshInterval.
 func (f *fetcher) refresh(now time.Time) {
 	if now.Sub(f.refreshed) < refreshInterval {
 		return
 	}
 	f.refreshed = now
 	before := f.servers
-	f.servers, f.near, f.nearPeers = nil, nil, map[string]bool{}
+	f.servers, f.zoneServers, f.zonePeers = nil, nil, map[string]bool{}
 	for _, b := range f.s.servers() {
 		peer := f.s.cfg.PeerAddr(b.Addr)
-		if at, ok := f.refused[peer]; ok && now.Sub(at) < refusedPause {
+		if at, ok := f.refused[peer]; ok && now.Sub(at) < refusedBackoff {
 			continue
 		}
 		f.servers = append(f.servers, b)
 		if b.Zone == f.s.cfg.Zone {
-			f.near = append(f.near, b)
-			f.nearPeers[peer] = true
+			f.zoneServers = append(f.zoneServers, b)
+			f.zonePeers[peer] = true
 		}
 	}
 	if !slices.EqualFunc(before, f.servers, func(a, b *fleet.BackendServer) bool { return a.Addr == b.Addr && a.Zone == b.Zone }) {
-		f.allTurns, f.nearTurns = nil, nil
+		f.ranking, f.zoneRanking = nil, nil
 	}
 }
 
-// turn is how many agents are to fetch a piece from the origin before this one.
-func (f *fetcher) turn(piece int) int { return f.turns().of(piece) }
+// rank returns this agent's rank among all agents for a piece.
+func (f *fetcher) rank(piece int) int { return f.fleetRanks().rank(piece) }
 
-func (f *fetcher) turns() *turns {
-	if f.allTurns == nil {
-		f.allTurns = newTurns(f.s.cfg.EngineAddr, f.servers)
+func (f *fetcher) fleetRanks() *pieceRanks {
+	if f.ranking == nil {
+		f.ranking = newPieceRanks(f.s.cfg.EngineAddr, f.servers)
 	}
-	return f.allTurns
+	return f.ranking
 }
 
-// turnNear is the same among the agents of the own zone.
-func (f *fetcher) turnNear(piece int) int {
-	if f.nearTurns == nil {
-		f.nearTurns = newTurns(f.s.cfg.EngineAddr, f.near)
+// zoneRank returns this agent's rank among the agents of its zone.
+func (f *fetcher) zoneRank(piece int) int {
+	if f.zoneRanking == nil {
+		f.zoneRanking = newPieceRanks(f.s.cfg.EngineAddr, f.zoneServers)
 	}
-	return f.nearTurns.of(piece)
+	return f.zoneRanking.rank(piece)
 }
 
-// noteRefused drops an agent that refused a connection until refusedPause has passed.
-func (f *fetcher) noteRefused(peer string, now time.Time) {
+// excludePeer excludes an agent that refused a connection for refusedBackoff.
+func (f *fetcher) excludePeer(peer string, now time.Time) {
 	f.refused[peer] = now
-	f.badUntil[peer] = now.Add(refusedPause)
+	f.backoffUntil[peer] = now.Add(refusedBackoff)
 	f.refreshed = time.Time{}
 }
 
-// listened are the peers whose holdings are followed: some of the own zone, and
-// fewer of others, which stand in where nobody near holds a piece. They are drawn,
-// so that all together form one connected swarm.
-func (f *fetcher) listened() []string {
+// watchedPeers returns the peers to watch: some of this agent's zone, and fewer of other
+// zones for pieces that no peer of the zone has. They are chosen at random, so that
+// together the agents form one connected swarm.
+func (f *fetcher) watchedPeers() []string {
 	var near, far []string
 	for _, b := range f.servers {
 		peer := f.s.cfg.PeerAddr(b.Addr)
 		switch {
 		case b.Addr == f.s.cfg.EngineAddr:
-		case f.nearPeers[peer]:
+		case f.zonePeers[peer]:
 			near = append(near, peer)
 		default:
 			far = append(far, peer)
@@ -77,8 +77,8 @@
 	if !f.large() {
 		return append(near, far...)
 	}
-	return append(near[:min(len(near), listenNear)], far[:min(len(far), listenFar)]...)
+	return append(near[:min(len(near), watchSameZone)], far[:min(len(far), watchOtherZones)]...)
 }
 
-// large tells whether the swarm is too large for each to listen to all.
-func (f *fetcher) large() bool { return len(f.servers) > listenAll }
+// large reports whether the swarm is too large for each agent to watch all others.
+func (f *fetcher) large() bool { return len(f.servers) > watchAllMax }
--- a/internal/staging/schedule.go
+++ b/internal/staging/schedule.go
@@ -9,42 +9,42 @@
 	"lynxgate.dev/lynxgate/internal/rendezvous"
 )
 
-// originSchedule says from when on pieces are asked of the origin in a large swarm. All
-// agents ask for those whose turn it is to fetch; without it, 96 pieces were asked for at
-// once by as many agents: over the connections that the origin takes, and since they shared
-// its link all of them came at the end of a copy's time, so that nothing could be passed on
-// before. With it some are under way at any moment, and the first are there after a
-// quarter of that time.
+// originSchedule determines when pieces are requested from the origin in a large swarm.
+// Without it, 96 agents request 96 pieces at once: that exceeds the origin's connection
+// limit, and because the requests share its link, all pieces arrive only at the end of
+// originTime and none can be forwarded earlier. With it a few pieces are in flight at any
+// time, and the first ones arrive after a quarter of originTime.
 //
-// It is pure, and the same at all agents that know the same.
+// It is a pure function of its input, so that agents with the same input agree on it.
 type originSchedule struct {
 	base time.Time
-	// rank is the place of each piece, window how many are asked for at first.
+	// rank is the position of each piece, window the number of pieces requested at first.
 	rank   map[int]int
 	window int
-	// conns is how many connections the origin takes.
+	// conns is the origin's connection limit.
 	conns int
-	// perPiece is the time of one piece on the origin's link.
+	// perPiece is the time that the origin's link takes for one piece.
 	perPiece time.Duration
 }
 
 const (
-	// windowPart of the connections that the origin takes is how many pieces are asked for
-	// at first: later ones come a little faster than the link carries them, and must find
+	// windowShare is the initial window as a share of the origin's connection limit. Later
+	// pieces are requested a little faster than the link sends them and need free
 	// connections, too.
-	windowPart = 1.0 / 6
-	// leastWindow keeps the link full where the origin takes few connections.
-	leastWindow = 4
-	// scheduleRate is by how much faster pieces are asked for than the link carries them, so
-	// that it is full though some agents are late or dead.
+	windowShare = 1.0 / 6
+	// minWindow keeps the link busy if the origin accepts few connections.
+	minWindow = 4
+	// scheduleRate is the rate of requests relative to the rate at which the link sends
+	// pieces, so that the link stays busy if some agents are late or have crashed.
 	scheduleRate = 1.15
-	// underWayPart of the connections is how many pieces share the link on average.
-	underWayPart = 0.5
+	// inFlightShare is the average number of pieces in flight as a share of the
+	// connection limit.
+	inFlightShare = 0.5
 )
 
-// newOriginSchedule orders the pieces that nobody holds as of base.
+// newOriginSchedule returns a schedule, starting at base, of the missing pieces.
 func newOriginSchedule(base time.Time, version uint64, missing []int, e *fleet.Engine, o *fleet.Origin) *originSchedule {
-	s := &originSchedule{base: base, rank: make(map[int]int, len(missing)), window: max(leastWindow, int(windowPart*float64(o.MaxConns))), conns: o.MaxConns}
+	s := &originSchedule{base: base, rank: make(map[int]int, len(missing)), window: max(minWindow, int(windowShare*float64(o.MaxConns))), conns: o.MaxConns}
 	if o.LinkMbps > 0 {
 		s.perPiece = timeOnLink(e.PieceBytes, o.LinkMbps)
 	}
@@ -58,39 +58,39 @@
 	return s
 }
 
-// due is when the agent whose turn it is asks for a piece.
+// due returns when the first agent requests a piece.
 func (s *originSchedule) due(piece int) time.Time {
 	wait := max(0, s.rank[piece]-s.window)
 	return s.base.Add(time.Duration(float64(wait) / scheduleRate * float64(s.perPiece)))
 }
 
-// standIn is when an agent asks that comes after so many others: those have had the time in
-// which a piece comes that is under way with as many as may be.
-func (s *originSchedule) standIn(piece, turn int) time.Time {
-	underWay := time.Duration(underWayPart * float64(s.conns) * float64(s.perPiece))
-	return s.due(piece).Add(underWay + time.Duration(turn)*idlePatienceLarge)
+// failoverAt returns when an agent with this rank requests a piece instead of the agents before
+// it. These have then had the time that a piece takes with many others in flight.
+func (s *originSchedule) failoverAt(piece, rank int) time.Time {
+	inFlight := time.Duration(inFlightShare * float64(s.conns) * float64(s.perPiece))
+	return s.due(piece).Add(inFlight + time.Duration(rank)*idleFailoverDelayLarge)
 }
 
-// scheduled tells whether a piece may be asked of the origin now by the schedule of a large
-// swarm.
-func (f *fetcher) scheduled(piece, turn int, now time.Time) bool {
+// scheduled reports whether the schedule of a large swarm permits a request for a piece to
+// the origin now. In other swarms it returns true.
+func (f *fetcher) scheduled(piece, rank int, now time.Time) bool {
 	if !f.large() {
 		return true
 	}
 	if f.schedule == nil {
-		f.schedule = newOriginSchedule(f.scheduleBase(), f.g.version, f.nowhere(), f.g.engine, f.g.origin)
+		f.schedule = newOriginSchedule(f.scheduleBase(), f.g.version, f.unannounced(), f.g.engine, f.g.origin)
 	}
-	if turn == 0 {
+	if rank == 0 {
 		return !now.Before(f.schedule.due(piece))
 	}
-	return !now.Before(f.schedule.standIn(piece, turn))
+	return !now.Before(f.schedule.failoverAt(piece, rank))
 }
 
-// scheduleBase is from when on the origin could be asked for the version: its digests were
-// known, and the origin has not failed since. An agent that started after the naming takes
-// its turns as if it had been there: others have asked long ago.
+// scheduleBase returns when the version could first be requested from the origin: after its
+// digests were known and after the last failure of the origin. An agent that started after
+// the naming uses the time of the naming, because the others began then.
 func (f *fetcher) scheduleBase() time.Time {
-	base := f.set.opened
+	base := f.set.createdAt
 	if named := f.g.named.AppliedAt; f.s.start.After(named) {
 		base = named
 	}
@@ -102,7 +102,7 @@
 	return base
 }
 
-// nowhere are the missing pieces that no peer has told to hold.
-func (f *fetcher) nowhere() []int {
-	return slices.DeleteFunc(f.set.missing(), func(piece int) bool { return f.count[piece] > 0 })
+// unannounced returns the missing pieces that no peer has announced.
+func (f *fetcher) unannounced() []int {
+	return slices.DeleteFunc(f.set.missing(), func(piece int) bool { return f.peerCount[piece] > 0 })
 }
--- a/internal/staging/schedule_test.go
+++ b/internal/staging/schedule_test.go
@@ -12,10 +12,10 @@
 	"lynxgate.dev/lynxgate/internal/ledger"
 )
 
-// TestOriginsLinkIsSharedInOrder: 96 pieces, 45 ms each on the origin's link, that takes 48
-// connections. Asked for in order they never need more, the link is never idle, and half
-// of them are there after half of a copy's time; asked for at once they all come at the end.
-func TestOriginsLinkIsSharedInOrder(t *testing.T) {
+// 96 pieces take 45 ms each on the link of an origin that accepts 48 connections. With the
+// schedule they never need more connections, the link is never idle and half of the pieces
+// arrive after about half of the time of a copy; without it all arrive at its end.
+func TestScheduleOfOriginLink(t *testing.T) {
 	const pieces, pieceBytes, mbps, conns = 96, 24_576, 4.38, 48
 	base := time.Unix(1000, 0)
 	var all []int
@@ -26,37 +26,38 @@
 	ordered := shareLink(pieces, s.perPiece, func(piece int) time.Duration { return s.due(piece).Sub(base) })
 	atOnce := shareLink(pieces, s.perPiece, func(int) time.Duration { return 0 })
 	copyTime := pieces * s.perPiece
-	assert.LessOrEqual(t, ordered.most, conns)
-	assert.Greater(t, atOnce.most, conns)
-	assert.LessOrEqual(t, ordered.end, copyTime+copyTime/20, "the link is full")
+	assert.LessOrEqual(t, ordered.maxInFlight, conns)
+	assert.Greater(t, atOnce.maxInFlight, conns)
+	assert.LessOrEqual(t, ordered.end, copyTime+copyTime/20, "the link is never idle")
 	assert.LessOrEqual(t, ordered.half, copyTime*7/10)
 	assert.Greater(t, atOnce.half, copyTime*9/10)
-	assert.GreaterOrEqual(t, s.standIn(3, 1).Sub(s.due(3)), conns/2*s.perPiece, "one under way is waited for")
+	assert.GreaterOrEqual(t, s.failoverAt(3, 1).Sub(s.due(3)), conns/2*s.perPiece, "the first agent's request can still succeed")
 }
 
-// shared is how pieces came over a link that all that are under way share.
+// shared is the result of shareLink: when half and all of the pieces had arrived, and the
+// maximum number in flight.
 type shared struct {
-	half, end time.Duration
-	most      int
+	half, end   time.Duration
+	maxInFlight int
 }
 
 func shareLink(pieces int, perPiece time.Duration, due func(piece int) time.Duration) (out shared) {
 	const step = time.Millisecond
-	left := make([]float64, pieces) // of each piece, in steps of the whole link
+	left := make([]float64, pieces) // of each piece, in steps at the full bandwidth
 	for piece := range left {
 		left[piece] = float64(perPiece) / float64(step)
 	}
 	done := 0
 	for at := time.Duration(0); done < pieces; at += step {
-		var under []int
+		var inFlight []int
 		for piece := range left {
 			if left[piece] > 0 && due(piece) <= at {
-				under = append(under, piece)
+				inFlight = append(inFlight, piece)
 			}
 		}
-		out.most = max(out.most, len(under))
-		for _, piece := range under {
-			if left[piece] -= 1 / float64(len(under)); left[piece] <= 1e-9 {
+		out.maxInFlight = max(out.maxInFlight, len(inFlight))
+		for _, piece := range inFlight {
+			if left[piece] -= 1 / float64(len(inFlight)); left[piece] <= 1e-9 {
 				left[piece] = 0
 				if done++; done == pieces/2 {
 					out.half = at
@@ -68,7 +69,7 @@
 	return out
 }
 
-func TestOnlyLargeSwarmsKeepToTheSchedule(t *testing.T) {
+func TestOnlyLargeSwarmsUseSchedule(t *testing.T) {
 	pieces := make([][]byte, 96)
 	for i := range pieces {
 		pieces[i] = []byte(fmt.Sprint(i))
@@ -77,44 +78,43 @@
 	f.g.engine = &fleet.Engine{Pieces: 96, PieceBytes: 24_576}
 	f.g.origin = &fleet.Origin{LinkMbps: 4.38, MaxConns: 48}
 	now := time.Unix(1000, 0)
-	f.set.opened, f.s.start = now, now.Add(-time.Minute)
+	f.set.createdAt, f.s.start = now, now.Add(-time.Minute)
 	f.g.named = ledger.Version{Number: 2, AppliedAt: now.Add(-time.Second)}
-	allowed := func(turn int, at time.Time) (n int) {
+	allowed := func(rank int, at time.Time) (n int) {
 		for piece := range pieces {
-			if f.scheduled(piece, turn, at) {
+			if f.scheduled(piece, rank, at) {
 				n++
 			}
 		}
 		return n
 	}
 	assert.Equal(t, 96, allowed(0, now))
-	for len(f.servers) <= listenAll {
+	for len(f.servers) <= watchAllMax {
 		f.servers = append(f.servers, &fleet.BackendServer{Addr: fmt.Sprintf("127.0.0.2:%d", len(f.servers))})
 	}
-	assert.Equal(t, 9, allowed(0, now), "a sixth of the connections, and the one that is next")
+	assert.Equal(t, 9, allowed(0, now), "a sixth of the connections, and the next one")
 	assert.Zero(t, allowed(1, now))
 	assert.Greater(t, allowed(0, now.Add(time.Second)), 30)
 	assert.Equal(t, 96, allowed(0, now.Add(4500*time.Millisecond)))
 	assert.Equal(t, 96, allowed(1, now.Add(7*time.Second)))
 
-	f.note(heldBy{peer: "p", pieces: []uint32{0, 1, 2, 3, 4, 5, 6, 7}})
-	f.noteOrigin(fmt.Errorf("refused"), now.Add(7*time.Second))
-	assert.Equal(t, 9+8, allowed(0, now.Add(7*time.Second)), "in order once more, but what somebody holds")
+	f.handleUpdate(peerUpdate{peer: "p", pieces: []uint32{0, 1, 2, 3, 4, 5, 6, 7}})
+	f.recordOrigin(fmt.Errorf("refused"), now.Add(7*time.Second))
+	assert.Equal(t, 9+8, allowed(0, now.Add(7*time.Second)), "scheduled anew, except for announced pieces")
 	assert.Zero(t, allowed(1, now.Add(7*time.Second)))
 }
 
-// TestAgentThatComesLaterAsksAtOnce: an agent that started long after the naming is first in
-// turn for some pieces, and the origin was down meanwhile; to begin the order anew would
-// keep all others waiting for them.
-func TestAgentThatComesLaterAsksAtOnce(t *testing.T) {
+// An agent that starts long after the naming is first to fetch some pieces. If it started the
+// schedule anew, all others would have to wait for these pieces.
+func TestLateAgentUsesScheduleOfNaming(t *testing.T) {
 	f := testFetcher([]byte("a"), []byte("b"))
 	f.g.engine, f.g.origin = &fleet.Engine{Pieces: 2, PieceBytes: 24_576}, &fleet.Origin{LinkMbps: 4.38, MaxConns: 48}
 	now := time.Unix(1000, 0)
 	f.g.named = ledger.Version{Number: 2, AppliedAt: now.Add(-8 * time.Second)}
-	f.s.start, f.set.opened = now.Add(-100*time.Millisecond), now
+	f.s.start, f.set.createdAt = now.Add(-100*time.Millisecond), now
 	assert.Equal(t, f.g.named.AppliedAt, f.scheduleBase())
 	f.s.start = now.Add(-time.Minute)
-	assert.Equal(t, now, f.scheduleBase(), "its digests could not be had before")
-	f.s.noteOrigin(errors.New("connection refused"), now.Add(time.Second))
+	assert.Equal(t, now, f.scheduleBase(), "its digests were not known before")
+	f.s.recordOrigin(errors.New("connection refused"), now.Add(time.Second))
 	assert.Equal(t, now.Add(time.Second), f.scheduleBase())
 }
--- a/internal/staging/serve.go
+++ b/internal/staging/serve.go
@@ -11,7 +11,7 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// Metrics counts pieces and orders.
+// Metrics are the metrics of staging.
 type Metrics struct {
 	pieces   *prometheus.CounterVec
 	bytes    *prometheus.CounterVec
@@ -20,7 +20,7 @@
 	relaid   prometheus.Counter
 }
 
-// NewMetrics registers the metrics of staging.
+// NewMetrics returns metrics registered with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		pieces: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -43,7 +43,7 @@
 	return m
 }
 
-// Register adds the service that other agents call.
+// Register registers the rpc.Pieces service for other agents.
 func (s *Stager) Register(mux drpc.Mux) error {
 	return rpc.DRPCRegisterPieces(mux, &server{stager: s})
 }
@@ -51,14 +51,14 @@
 // server implements rpc.DRPCPiecesServer.
 type server struct{ stager *Stager }
 
-// setWait is how often a peer that asks for a version not known yet is looked after.
-const setWait = 100 * time.Millisecond
+// setPollInterval is how often requests of peers check for a version that is not known yet.
+const setPollInterval = 100 * time.Millisecond
 
-// heldInterval is the least time between two updates: a link of 7.3 Mbit/s brings a
-// piece in 27 ms.
-const heldInterval = 50 * time.Millisecond
+// updateInterval is the minimum time between two updates. A link of 7.3 Mbit/s receives a
+// piece every 27 ms.
+const updateInterval = 50 * time.Millisecond
 
-// Held streams the pieces held of one version.
+// Held streams the pieces that this agent has of one version.
 func (s *server) Held(req *rpc.HeldRequest, stream rpc.DRPCPieces_HeldStream) error {
 	k := key{req.Model, req.Version}
 	sent := 0
@@ -70,27 +70,27 @@
 		var changed <-chan struct{}
 		if set != nil {
 			var added []uint32
-			added, changed = set.since(sent)
+			added, changed = set.addedAfter(sent)
 			if len(added) > 0 {
 				sent += len(added)
 				if err := stream.Send(&rpc.HeldUpdate{Added: added}); err != nil {
 					return err
 				}
-				time.Sleep(heldInterval) // what comes meanwhile shares the next update
+				time.Sleep(updateInterval) // pieces added meanwhile share the next update
 				continue
 			}
 		}
 		select {
 		case <-changed:
-		case <-time.After(setWait):
+		case <-time.After(setPollInterval):
 		case <-stream.Context().Done():
 			return stream.Context().Err()
 		}
 	}
 }
 
-// heldByEngine tells what lies at the engine; it is not checked here but by the
-// peer that takes it.
+// heldByEngine streams the pieces staged at the engine. They are not verified here; peers
+// verify them.
 func (s *server) heldByEngine(k key, stream rpc.DRPCPieces_HeldStream) error {
 	held, err := s.stager.cfg.Engine.Held(stream.Context(), k.model)
 	if err != nil {
@@ -107,8 +107,8 @@
 	return stream.Context().Err()
 }
 
-// engineHolds tells whether the engine has loaded exactly this version, so that
-// what lies there most likely is this version, too.
+// engineHolds reports whether the engine has loaded exactly this version, so that the
+// pieces staged there most likely belong to it.
 func (s *Stager) engineHolds(ctx context.Context, k key) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -116,48 +116,49 @@
 	return err == nil && holds(report, k.model, 0) == k.version
 }
 
-// Piece returns one piece.
+// Piece returns one piece, or a response without data if the piece is not available or no
+// upload slot is free in time. With req.Wait it waits for a piece that has not arrived yet.
 func (s *server) Piece(ctx context.Context, req *rpc.PieceRequest) (*rpc.PieceResponse, error) {
 	began := clock.Now()
 	if req.Wait && !s.waitFor(ctx, key{req.Model, req.Version}, int(req.Piece)) {
 		return &rpc.PieceResponse{}, nil
 	}
-	patience := uploadWait
+	timeout := uploadWait
 	if req.Wait {
-		patience = maxPieceWait
+		timeout = maxPieceWait
 	}
-	if !s.takeSlot(ctx, patience) {
+	if !s.acquireSlot(ctx, timeout) {
 		return &rpc.PieceResponse{Busy: true}, nil
 	}
 	defer func() { <-s.stager.slots }()
 	k := key{req.Model, req.Version}
 	data, err := s.piece(ctx, k, int(req.Piece))
 	if err != nil {
-		return &rpc.PieceResponse{}, nil // not held, or not now: the peer asks elsewhere
+		return &rpc.PieceResponse{}, nil // the peer uses another source
 	}
 	s.stager.pace(len(data))
 	return &rpc.PieceResponse{Data: data, WaitedMs: uint32(clock.Since(began).Milliseconds())}, nil
 }
 
-// maxPieceWait bounds the wait for a piece that is still to come, and for an upload
-// slot after it: the caller asks elsewhere then.
+// maxPieceWait limits the wait for a piece that has not arrived yet, and then the wait for
+// an upload slot; after it the caller uses another source.
 const maxPieceWait = 2 * time.Second
 
-// waitFor waits until a piece is held; false if it is not in time.
+// waitFor waits until this agent has a piece; it returns false on timeout.
 func (s *server) waitFor(ctx context.Context, k key, piece int) bool {
 	deadline := time.NewTimer(maxPieceWait)
 	defer deadline.Stop()
 	for {
 		var changed <-chan struct{}
 		if set := s.stager.sets.get(k); set != nil {
-			_, changed = set.since(0)
+			_, changed = set.addedAfter(0)
 			if set.get(piece) != nil {
 				return true
 			}
 		}
 		select {
 		case <-changed:
-		case <-time.After(setWait):
+		case <-time.After(setPollInterval):
 		case <-deadline.C:
 			return false
 		case <-ctx.Done():
@@ -166,18 +167,18 @@
 	}
 }
 
-// uploadWait is how long a peer may wait for an upload slot: sixteen pieces of 24 KB on a
-// link of 7.3 Mbit/s. One that is refused does not come back for badPause.
+// uploadWait is how long a peer waits for an upload slot: the time of sixteen pieces of 24 KB
+// on a link of 7.3 Mbit/s. A peer that gets none does not retry before peerBackoff.
 const uploadWait = 450 * time.Millisecond
 
-// takeSlot takes an upload slot; false if none is free in time.
-func (s *server) takeSlot(ctx context.Context, patience time.Duration) bool {
+// acquireSlot acquires an upload slot; it returns false on timeout.
+func (s *server) acquireSlot(ctx context.Context, timeout time.Duration) bool {
 	select {
 	case s.stager.slots <- struct{}{}:
 		return true
 	default:
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case s.stager.slots <- struct{}{}:
@@ -195,8 +196,8 @@
 	return s.stager.cfg.Engine.Get(ctx, k.model, piece)
 }
 
-// pace waits until the link has had the time to send what was sent before, so
-// that the connection's buffers do not hold several pieces.
+// pace waits until the link has had time to send the previous pieces, so that the
+// connection's buffers never contain several pieces.
 func (s *Stager) pace(bytes int) {
 	if s.cfg.LinkMbps <= 0 {
 		return
@@ -213,7 +214,7 @@
 	time.Sleep(wait)
 }
 
-// Digests returns the digests of a version, none if they are not known.
+// Digests returns the digests of a version, or none if they are not known here.
 func (s *server) Digests(_ context.Context, req *rpc.HeldRequest) (*rpc.DigestsResponse, error) {
 	resp := &rpc.DigestsResponse{}
 	if set := s.stager.sets.get(key{req.Model, req.Version}); set != nil {
--- a/internal/staging/sets.go
+++ b/internal/staging/sets.go
@@ -8,14 +8,14 @@
 	"lynxgate.dev/lynxgate/internal/clock"
 )
 
-// key names a version of a model's weights.
+// key identifies a version of a model's weights.
 type key struct {
 	model   string
 	version uint64
 }
 
-// keptVersions is how many versions are kept for peers: the one in use and the
-// one that is coming.
+// keptVersions is the number of versions kept for peers: the one in use and the
+// one being fetched.
 const keptVersions = 2
 
 // sets are the piece sets by version.
@@ -32,7 +32,8 @@
 	return s.sets[k]
 }
 
-// add makes an empty set, and drops the oldest of the model over keptVersions.
+// add returns the set of k, creating an empty one if there is none. Beyond
+// keptVersions, the set of the model's oldest version is removed.
 func (s *sets) add(k key, digests []Digest) *pieceSet {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,53 +58,53 @@
 	return set
 }
 
-// pieceSet holds the verified pieces of one version.
+// pieceSet contains the verified pieces of one version.
 type pieceSet struct {
 	digests []Digest
-	// opened is when the digests were learned here.
-	opened time.Time
+	// createdAt is when the set was created: its digests were not known here before.
+	createdAt time.Time
 
 	mu      sync.Mutex
 	pieces  [][]byte
-	order   []uint32 // pieces in the order in which they came
+	order   []uint32 // pieces in the order of their arrival
 	changed chan struct{}
-	// staged: what lay at the engine was taken in.
-	staged bool
-	// complete is when the last piece came.
+	// imported is true once the import of the pieces staged at the engine has begun.
+	imported bool
+	// complete is when the last piece arrived.
 	complete time.Time
-	// elsewhere are the pieces that peers have told to hold.
-	elsewhere map[int]bool
+	// peerPieces are the pieces that peers have announced.
+	peerPieces map[int]bool
 }
 
 func newPieceSet(digests []Digest) *pieceSet {
-	return &pieceSet{digests: digests, opened: clock.Now(), pieces: make([][]byte, len(digests)), changed: make(chan struct{}), elsewhere: map[int]bool{}}
+	return &pieceSet{digests: digests, createdAt: clock.Now(), pieces: make([][]byte, len(digests)), changed: make(chan struct{}), peerPieces: map[int]bool{}}
 }
 
-// noteElsewhere notes that a peer holds a piece, and tells whether that is news.
-func (p *pieceSet) noteElsewhere(piece int) (news bool) {
+// addPeerPiece records that a peer has a piece, and reports whether it is the first peer.
+func (p *pieceSet) addPeerPiece(piece int) (isNew bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	news = !p.elsewhere[piece]
-	p.elsewhere[piece] = true
-	return news
+	isNew = !p.peerPieces[piece]
+	p.peerPieces[piece] = true
+	return isNew
 }
 
-// atHand is how many pieces are held here or by a peer; 0 of a set that is not known.
-func (p *pieceSet) atHand() (n int) {
+// available returns the number of pieces that this agent or a peer has; 0 for a nil set.
+func (p *pieceSet) available() (n int) {
 	if p == nil {
 		return 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, data := range p.pieces {
-		if data != nil || p.elsewhere[i] {
+		if data != nil || p.peerPieces[i] {
 			n++
 		}
 	}
 	return n
 }
 
-// put takes a piece in if its digest is right, and tells whether it is.
+// put adds a piece if its digest matches, and reports whether it does.
 func (p *pieceSet) put(piece int, data []byte) bool {
 	if piece < 0 || piece >= len(p.digests) || sha256.Sum256(data) != p.digests[piece] {
 		return false
@@ -131,9 +132,9 @@
 	return p.pieces[piece]
 }
 
-// since returns the pieces that came after the first n, and a channel that is
-// closed at the next one.
-func (p *pieceSet) since(n int) ([]uint32, <-chan struct{}) {
+// addedAfter returns the pieces added after the first n, and a channel that is closed
+// when another one is added.
+func (p *pieceSet) addedAfter(n int) ([]uint32, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.order[n:len(p.order):len(p.order)], p.changed
@@ -151,18 +152,19 @@
 	return out
 }
 
-// completedAt is when the last piece came, zero while one is missing.
+// completedAt returns when the last piece arrived; zero while one is missing.
 func (p *pieceSet) completedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.complete
 }
 
-// takeStagedNow tells, once, that what lies at the engine is to be taken in.
-func (p *pieceSet) takeStagedNow() bool {
+// startImport reports whether the pieces staged at the engine are still to be imported;
+// it returns true only once.
+func (p *pieceSet) startImport() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	first := !p.staged
-	p.staged = true
+	first := !p.imported
+	p.imported = true
 	return first
 }
--- a/internal/staging/sources.go
+++ b/internal/staging/sources.go
@@ -8,11 +8,11 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// Where a piece is fetched from: peers of the own zone, peers of others, the origin.
+// Sources of a piece: peers of this agent's zone, peers of other zones, the origin.
 
 func (f *fetcher) fromPeer(ctx context.Context, piece int, now time.Time) {
 	free := f.freeHolders(piece, now, true)
-	if len(free) == 0 && !f.heldNear(piece) && f.farTurn(piece, now) {
+	if len(free) == 0 && !f.heldInZone(piece) && f.crossZoneDue(piece, now) {
 		free = f.freeHolders(piece, now, false)
 	}
 	if len(free) == 0 {
@@ -20,37 +20,38 @@
 	}
 	peer := free[rand.IntN(len(free))]
 	f.inFlight[piece], f.busy[peer] = true, true
-	f.downs++
+	f.downloads++
 	timeout := peerTimeout
 	if f.link.narrow() {
 		timeout = pieceTimeout
 	}
-	go f.run(ctx, fetched{piece: piece, peer: peer, beside: f.downs}, func(ctx context.Context) ([]byte, time.Duration, error) {
+	go f.run(ctx, fetchResult{piece: piece, peer: peer, concurrent: f.downloads}, func(ctx context.Context) ([]byte, time.Duration, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		return f.ask(ctx, peer, piece, false)
+		return f.requestPiece(ctx, peer, piece, false)
 	})
 }
 
-// fromFetcher asks the agent of another zone that is to fetch a piece from the
-// origin for it, and waits until that one has it: one agent of each zone does.
-func (f *fetcher) fromFetcher(ctx context.Context, piece int) {
-	f.asked[piece] = true
-	first := f.turns().first(piece)
+// fromFirstAgent requests a piece from the agent that is first to fetch it from the origin, if
+// that agent is in another zone, and waits until it has the piece. One agent of each zone
+// does this.
+func (f *fetcher) fromFirstAgent(ctx context.Context, piece int) {
+	f.askedDirectly[piece] = true
+	first := f.fleetRanks().first(piece)
 	if first == nil || first.Zone == f.s.cfg.Zone {
 		return
 	}
 	f.inFlight[piece] = true
-	f.directs++
+	f.directRequests++
 	peer := f.s.cfg.PeerAddr(first.Addr)
-	go f.run(ctx, fetched{piece: piece, peer: peer, direct: true}, func(ctx context.Context) ([]byte, time.Duration, error) {
-		return f.ask(ctx, peer, piece, true)
+	go f.run(ctx, fetchResult{piece: piece, peer: peer, direct: true}, func(ctx context.Context) ([]byte, time.Duration, error) {
+		return f.requestPiece(ctx, peer, piece, true)
 	})
 }
 
-// ask asks a peer for a piece; with wait, until the peer holds it. It returns how long
-// the peer kept the request before it sent the piece.
-func (f *fetcher) ask(ctx context.Context, peer string, piece int, wait bool) ([]byte, time.Duration, error) {
+// requestPiece requests a piece from a peer. With wait the peer waits until it has the piece.
+// It also returns how long the request waited at the peer.
+func (f *fetcher) requestPiece(ctx context.Context, peer string, piece int, wait bool) ([]byte, time.Duration, error) {
 	resp, err := rpc.NewDRPCPiecesClient(f.s.pool.Get(ctx, peer)).Piece(ctx, &rpc.PieceRequest{
 		Model: f.g.model, Version: f.g.version, Piece: uint32(piece), Wait: wait,
 	})
@@ -63,66 +64,66 @@
 	return resp.Data, time.Duration(resp.WaitedMs) * time.Millisecond, nil
 }
 
-// freeHolders are the peers, of the own zone or of others, that hold a piece and
+// freeHolders returns the peers of this agent's zone, or of others, that have a piece and
 // may be asked now.
-func (f *fetcher) freeHolders(piece int, now time.Time, near bool) []string {
+func (f *fetcher) freeHolders(piece int, now time.Time, sameZone bool) []string {
 	var free []string
 	for peer, held := range f.holders {
-		if held[piece] && f.nearPeers[peer] == near && !f.busy[peer] && now.After(f.badUntil[peer]) {
+		if held[piece] && f.zonePeers[peer] == sameZone && !f.busy[peer] && now.After(f.backoffUntil[peer]) {
 			free = append(free, peer)
 		}
 	}
 	return free
 }
 
-func (f *fetcher) heldNear(piece int) bool {
+func (f *fetcher) heldInZone(piece int) bool {
 	for peer, held := range f.holders {
-		if held[piece] && f.nearPeers[peer] {
+		if held[piece] && f.zonePeers[peer] {
 			return true
 		}
 	}
 	return false
 }
 
-// farTurn tells whether it is for this agent to fetch a piece from another zone:
-// one agent of each zone does, the others wait for it.
-func (f *fetcher) farTurn(piece int, now time.Time) bool {
-	return now.Sub(f.heldSince[piece]) >= time.Duration(f.turnNear(piece))*farPatience
+// crossZoneDue reports whether this agent may fetch a piece from another zone now: one agent
+// of each zone does, and the others wait for it.
+func (f *fetcher) crossZoneDue(piece int, now time.Time) bool {
+	return now.Sub(f.announcedAt[piece]) >= time.Duration(f.zoneRank(piece))*crossZoneDelay
 }
 
-// originsTurn tells whether it is for this agent to fetch a piece from the origin.
-func (f *fetcher) originsTurn(piece, holders int, now time.Time) bool {
-	if f.inFlight[piece] || f.origins >= maxFromOrigin || f.link.narrow() && f.downs > 0 || now.Before(f.badUntil[atOrigin]) || !f.s.reported.Load() {
+// originDue reports whether this agent may fetch a piece from the origin now.
+func (f *fetcher) originDue(piece, holders int, now time.Time) bool {
+	if f.inFlight[piece] || f.originFetches >= maxFromOrigin || f.link.narrow() && f.downloads > 0 || now.Before(f.backoffUntil[originPeer]) || !f.s.reported.Load() {
 		return false
 	}
 	waited := now.Sub(f.began)
-	if f.g.named.Number == 0 || f.g.age() > freshVersion {
-		waited -= peerHead
+	if f.g.named.Number == 0 || f.g.age() > freshVersionAge {
+		waited -= peerHeadStart
 	}
 	if holders > 0 {
-		waited -= originPatience // peers that hold it are given a chance first
+		waited -= announcedDelay // peers that have it are preferred
 	}
-	turn := f.turn(piece)
-	if !f.scheduled(piece, turn, now) {
+	rank := f.rank(piece)
+	if !f.scheduled(piece, rank, now) {
 		return false
 	}
-	if turn == 0 {
+	if rank == 0 {
 		return waited >= 0
 	}
-	patience := idlePatience
+	delay := idleFailoverDelay
 	if f.large() {
-		patience = idlePatienceLarge
+		delay = idleFailoverDelayLarge
 	}
-	if !f.idleSince.IsZero() && now.Sub(f.idleSince) >= time.Duration(turn)*patience {
+	if !f.idleSince.IsZero() && now.Sub(f.idleSince) >= time.Duration(rank)*delay {
 		return true
 	}
-	return waited >= f.g.originTime()+time.Duration(turn)*latePatience
+	return waited >= f.g.originTime()+time.Duration(rank)*lateFailoverDelay
 }
 
 func (f *fetcher) fromOrigin(ctx context.Context, piece int) {
 	f.inFlight[piece] = true
-	f.origins++
-	go f.run(ctx, fetched{piece: piece, peer: atOrigin}, func(ctx context.Context) ([]byte, time.Duration, error) {
+	f.originFetches++
+	go f.run(ctx, fetchResult{piece: piece, peer: originPeer}, func(ctx context.Context) ([]byte, time.Duration, error) {
 		data, err := f.s.cfg.Origin.Piece(ctx, f.g.origin.Addr, f.g.model, f.g.version, piece)
 		return data, 0, err
 	})
--- a/internal/staging/staging.go
+++ b/internal/staging/staging.go
@@ -1,10 +1,10 @@
-// Package staging brings named versions of weights onto the engine beside it: it
-// fetches the pieces from other agents and from the origin, checks each digest,
-// lays them at the engine, reads them back and orders the engine to load them.
+// Package staging loads the named versions of weights into the agent's engine: it
+// fetches the pieces from other agents and from the origin, checks their digests,
+// stages them at the engine, reads them back and orders the engine to load them.
 //
-// State: the pieces held by version, behind one lock; one goroutine decides and
-// gives orders, one at a time. Messages: rpc.Pieces between agents; the engine
-// and the origin behind interfaces.
+// State: the verified pieces by version, behind one lock; one goroutine decides
+// and gives orders, one at a time. Messages: rpc.Pieces between agents; the engine
+// and the origin are interfaces.
 package staging
 
 import (
@@ -24,123 +24,124 @@
 	"lynxgate.dev/lynxgate/internal/rpcconn"
 )
 
-// Config says how an agent stages weights.
+// Config configures a Stager.
 type Config struct {
-	// Service of the engine, and its ip:port.
+	// Service and EngineAddr are the service of the engine and its ip:port.
 	Service    string
 	EngineAddr string
-	// PeerAddr returns the rpc address of the agent beside a backend server.
+	// PeerAddr returns the RPC address of a backend server's agent.
 	PeerAddr func(serverAddr string) string
 	Engine   Engine
 	Origin   Origin
 	View     func() *follow.View
 	// Tell sends a report to the control servers, to all of them or to one.
 	Tell func(r *rpc.AgentReport, all bool)
-	// LinkMbps is the bandwidth of the VM's link, which live requests share; 0 is
-	// not known.
+	// LinkMbps is the bandwidth of the VM's link, which is shared with live requests;
+	// 0 if unknown.
 	LinkMbps float64
-	// Zone of this agent: bytes from other zones are paid for.
+	// Zone is the availability zone of this agent. Traffic from other zones is charged.
 	Zone string
-	// VersionBound is how long a version may take to be in use.
+	// VersionBound is the maximum time from the naming of a version until it is in use.
 	VersionBound time.Duration
 	Logger       zerolog.Logger
 	Metrics      *Metrics
 }
 
 const (
-	// pollInterval is how often the engine is asked for its state and the entries
-	// are told: an engine takes a new request every 60 ms. The call is free on the
-	// own machine.
+	// pollInterval is how often the engine is asked for its state, which is then sent to
+	// the entries: an engine receives a new request every 60 ms. The call is cheap
+	// because the engine runs on the same machine.
 	pollInterval = 100 * time.Millisecond
-	// pollServers is up to how many engines pollInterval holds; with more, it grows
-	// in proportion up to maxPollInterval.
+	// pollServers is the number of engines up to which pollInterval applies; with more,
+	// the interval grows in proportion, up to maxPollInterval.
 	pollServers     = 40
 	maxPollInterval = 500 * time.Millisecond
-	// callTimeout bounds one call to the engine.
+	// callTimeout limits one call to the engine.
 	callTimeout = 1 * time.Second
-	// orderRetry is the pause after an order without effect.
+	// orderRetry is the minimum time between two orders to load.
 	orderRetry = 500 * time.Millisecond
-	// verifiedFor is for how long the verification of what lies at the engine is
-	// relied on, from its begin: what turned bad in the 3 s before a load is excused
-	// by the users' rules, and the order is on its way for callTimeout at most. A
-	// process that stood still or crawled meanwhile verifies again.
-	verifiedFor = 2 * time.Second
+	// verificationMaxAge is the maximum age of a verification of the staged pieces when the
+	// order to load is sent, from its beginning. The users' rules tolerate pieces that
+	// became corrupted in the 3 s before a load, and the order takes up to callTimeout.
+	// A process that was suspended or slow in between must verify again.
+	verificationMaxAge = 2 * time.Second
 )
 
-// Stager is one agent's staging.
+// Stager stages and loads weights at one engine. Create it with New.
 type Stager struct {
 	cfg   Config
 	log   zerolog.Logger
 	pool  *rpcconn.Pool
 	sets  *sets
 	slots chan struct{}
-	// now is the clock by which verifications age.
+	// now is the clock for the age of verifications.
 	now func() time.Time
-	// uploadFree is when the link will have sent the pieces given out so far.
+	// uploadFree is when the link will have sent the uploads so far.
 	uploadMu   sync.Mutex
 	uploadFree time.Time
 
-	// holding is the version that the engine holds whole, as it last told.
-	holding atomic.Uint64
-	// reported: the engine has told its state at least once. absent: it has not, and
-	// refuses connections, so it holds nothing yet.
-	reported, absent atomic.Bool
+	// engineVersion is the version that the engine has loaded completely, by its last report.
+	engineVersion atomic.Uint64
+	// reported is true once the engine has reported its state. engineDown is true while the
+	// engine refuses connections; before its first report it then has no pieces.
+	reported, engineDown atomic.Bool
 
-	// goingFor is the version that was chosen last of two that were named shortly after
+	// chosenVersion is the version that was last chosen from two that were named shortly after
 	// each other.
-	goingFor atomic.Uint64
-	// originFailedAt and originSentAt are when the origin last failed and last answered,
-	// in nanoseconds since start, which the time of day does not change; 0 never.
-	start                        time.Time
-	originFailedAt, originSentAt atomic.Int64
+	chosenVersion atomic.Uint64
+	// originFailedAt and originServedAt are when the origin last failed and last served an
+	// agent, in nanoseconds since start, so that steps of the wall clock have no effect;
+	// 0 if never.
+	start                          time.Time
+	originFailedAt, originServedAt atomic.Int64
 
-	// atEngine is what was seen of what lies at the engine.
-	atEngine verification
+	// verification is the last verification of the pieces staged at the engine.
+	verification verification
 
-	// Below: owned by the goroutine of step.
+	// The fields below are owned by the goroutine that calls step.
 	orderedAt time.Time
 	loading   bool
-	// born is the engine's start that reported last.
-	born int64
-	// laid is the version that was last laid at the engine.
-	laid  uint64
-	epoch uint64
-	told  *rpc.AgentReport
+	// engineBorn is the start of the newest incarnation of the engine that has reported.
+	engineBorn int64
+	// stagedVersion is the version that was last staged at the engine.
+	stagedVersion uint64
+	epoch         uint64
+	lastReport    *rpc.AgentReport
 }
 
-// New makes a stager.
+// New returns a Stager; Run starts it.
 func New(cfg Config) *Stager {
 	return &Stager{
 		cfg: cfg, log: cfg.Logger, pool: rpcconn.NewPool(), sets: newSets(),
 		slots: make(chan struct{}, maxUploads), now: clock.Now,
 		start: clock.Now(),
-		epoch: uint64(time.Now().UnixNano()), told: &rpc.AgentReport{},
+		epoch: uint64(time.Now().UnixNano()), lastReport: &rpc.AgentReport{},
 	}
 }
 
-// tell sends the engine's state to the entries, by the control servers.
-func (s *Stager) tell(r Report) {
+// sendReport sends the engine's state to the entries through the control servers.
+func (s *Stager) sendReport(r Report) {
 	next := &rpc.AgentReport{
-		Addr: s.cfg.EngineAddr, Born: r.Born, Epoch: s.epoch, Seq: s.told.Seq + 1, Loading: s.loading,
+		Addr: s.cfg.EngineAddr, Born: r.Born, Epoch: s.epoch, Seq: s.lastReport.Seq + 1, Loading: s.loading,
 		Models: follow.ModelsToProto(r.Models), Running: uint32(r.Running), Waiting: uint32(r.Waiting),
 	}
-	urgent := next.Loading != s.told.Loading || !follow.SameModels(next.Models, s.told.Models)
-	s.told = next
+	urgent := next.Loading != s.lastReport.Loading || !follow.SameModels(next.Models, s.lastReport.Models)
+	s.lastReport = next
 	s.cfg.Tell(next, urgent)
 }
 
-// Run works until ctx is done: one goroutine fetches, one learns of the next version,
-// one gives orders.
+// Run runs the stager until ctx is done. One goroutine fetches pieces, one fetches the
+// digests of the newest version, and one gives orders to the engine.
 func (s *Stager) Run(ctx context.Context) error {
 	fetched := make(chan struct{})
 	go func() {
 		defer close(fetched)
 		s.fetchAll(ctx)
 	}()
-	learned := make(chan struct{})
+	prefetched := make(chan struct{})
 	go func() {
-		defer close(learned)
-		s.learnNewest(ctx)
+		defer close(prefetched)
+		s.prefetchDigests(ctx)
 	}()
 	for {
 		s.step(ctx)
@@ -150,28 +151,28 @@
 		case <-ctx.Done():
 			timer.Stop()
 			<-fetched
-			<-learned
+			<-prefetched
 			return ctx.Err()
 		}
 	}
 }
 
-// pollPause grows with the number of engines: so the reports of all of them take a
-// bounded part of the entries' time.
+// pollPause returns the time until the next poll of the engine. It grows with the number
+// of engines to bound the entries' CPU time for reports.
 func (s *Stager) pollPause() time.Duration {
 	n := len(s.servers())
 	return min(maxPollInterval, pollInterval*time.Duration(max(n, pollServers))/pollServers)
 }
 
-// fetchAll keeps what the engine holds, and is to hold, at hand: for its own loads
-// and for other agents.
+// fetchAll fetches the version that the engine has loaded and those that it is to load, for
+// the engine and for other agents.
 func (s *Stager) fetchAll(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		for _, g := range s.wanted() {
 			tryCtx, cancel := context.WithTimeout(ctx, completeTimeout)
-			err := s.haveAtHand(tryCtx, g)
+			err := s.ensureAvailable(tryCtx, g)
 			cancel()
 			if err != nil && ctx.Err() == nil {
 				s.log.Warn().Err(err).Str("model", g.model).Uint64("version", g.version).Msg("weights are not complete")
@@ -186,10 +187,10 @@
 	}
 }
 
-// haveAtHand completes a version, or takes in what lies at an engine that has
-// loaded it: what is spoilt there nobody needs but peers, who check it.
-func (s *Stager) haveAtHand(ctx context.Context, g goal) error {
-	if s.holding.Load() >= g.version {
+// ensureAvailable completes a version. If the engine has already loaded it, only the pieces
+// staged there are imported: others are not needed, except by peers.
+func (s *Stager) ensureAvailable(ctx context.Context, g goal) error {
+	if s.engineVersion.Load() >= g.version {
 		_, err := s.openSet(ctx, g)
 		return err
 	}
@@ -197,7 +198,7 @@
 	return err
 }
 
-// step brings the engine one step nearer to the goal.
+// step polls the engine, and stages or loads the goal's version if possible.
 func (s *Stager) step(ctx context.Context) {
 	g, ok := s.goal()
 	if !ok {
@@ -207,45 +208,45 @@
 	report, err := s.cfg.Engine.Report(callCtx)
 	cancel()
 	if err != nil {
-		s.log.Debug().Err(err).Msg("engine gives no report")
-		s.absent.Store(errors.Is(err, syscall.ECONNREFUSED))
+		s.log.Debug().Err(err).Msg("engine report failed")
+		s.engineDown.Store(errors.Is(err, syscall.ECONNREFUSED))
 		return
 	}
-	s.noteStart(report.Born)
-	held := holds(report, g.model, g.engine.Layers)
-	s.holding.Store(held)
+	s.checkRestart(report.Born)
+	loaded := holds(report, g.model, g.engine.Layers)
+	s.engineVersion.Store(loaded)
 	s.reported.Store(true)
-	s.noteLoading(report, g, held)
-	s.tell(report)
-	if report.Busy || held >= g.version {
+	s.checkLoaded(report, g, loaded)
+	s.sendReport(report)
+	if report.Busy || loaded >= g.version {
 		return
 	}
 	set := s.sets.get(key{g.model, g.version})
 	if set == nil || len(set.missing()) > 0 {
 		return
 	}
-	if s.laid != g.version {
+	if s.stagedVersion != g.version {
 		if _, err := s.verified(ctx, g, set); err != nil {
-			s.log.Warn().Err(err).Str("model", g.model).Uint64("version", g.version).Msg("weights not laid at the engine")
+			s.log.Warn().Err(err).Str("model", g.model).Uint64("version", g.version).Msg("staging the weights at the engine failed")
 			return
 		}
-		s.laid = g.version
+		s.stagedVersion = g.version
 	}
-	if held > 0 && !s.mayLoad(g, held, set) {
+	if loaded > 0 && !s.mayLoad(g, loaded, set) {
 		return
 	}
 	s.load(ctx, g, set, report)
 }
 
-// noteStart notes which start of the engine reports: one that has started again holds
-// nothing of before, and has no order in progress.
-func (s *Stager) noteStart(born int64) {
-	if s.born != 0 && born > s.born {
-		s.log.Info().Int64("born", born).Int64("before", s.born).Msg("engine has started again")
-		s.laid, s.loading, s.orderedAt = 0, false, time.Time{}
-		s.atEngine.forget()
+// checkRestart detects a restart of the engine: a new incarnation has no staged or loaded
+// pieces and no order in progress.
+func (s *Stager) checkRestart(born int64) {
+	if s.engineBorn != 0 && born > s.engineBorn {
+		s.log.Info().Int64("born", born).Int64("before", s.engineBorn).Msg("engine has started again")
+		s.stagedVersion, s.loading, s.orderedAt = 0, false, time.Time{}
+		s.verification.reset()
 	}
-	s.born = max(s.born, born)
+	s.engineBorn = max(s.engineBorn, born)
 }
 
 func holds(r Report, model string, layers int) uint64 {
@@ -253,10 +254,10 @@
 	return b.Holds(model, layers)
 }
 
-func (s *Stager) noteLoading(r Report, g goal, held uint64) {
+func (s *Stager) checkLoaded(r Report, g goal, loaded uint64) {
 	if s.loading && !r.Busy {
 		s.loading = false
-		s.log.Info().Str("model", g.model).Uint64("version", held).Dur("took_ms", clock.Since(s.orderedAt)).
+		s.log.Info().Str("model", g.model).Uint64("version", loaded).Dur("took_ms", clock.Since(s.orderedAt)).
 			Msg("engine has loaded")
 	}
 }
--- a/internal/staging/verified.go
+++ b/internal/staging/verified.go
@@ -5,21 +5,24 @@
 	"time"
 )
 
-// reliedOn is for how long a verification of what lies at the engine takes the place of
-// another one, from its begin: the order to load comes within verifiedFor of it then, and needn't wait
-// until all is read once more.
-const reliedOn = 1 * time.Second
+// verificationReuse is how long after its beginning a verification is reused, so that an order to load
+// need not wait until all pieces have been read again. It is shorter than verificationMaxAge, within
+// which the order must be sent.
+const verificationReuse = 1 * time.Second
 
-// verification is when what lies at the engine was last seen to be one version, whole.
+// verification records when the pieces staged at the engine were last verified to be one
+// complete version.
 type verification struct {
 	mu sync.Mutex
 	of key
-	// began is when the verification began, changed when another version began to be laid.
+	// began is when the verification began, changed when the staged pieces last began to
+	// be replaced.
 	began, changed time.Time
 }
 
-// laying notes that a version is being laid: what was seen of another one no longer holds.
-func (v *verification) laying(k key, now time.Time) {
+// stagingBegan records that the pieces of a version are being staged, and drops the verification
+// of another version.
+func (v *verification) stagingBegan(k key, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.of != k {
@@ -28,9 +31,9 @@
 	v.changed = now
 }
 
-// note takes a verification in that began at this time and found all pieces. One that
-// something was laid during, other than by itself, says nothing.
-func (v *verification) note(k key, began time.Time) {
+// record stores a successful verification that began at this time. It is ignored if staging
+// by anything else has begun since.
+func (v *verification) record(k key, began time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !began.Before(v.changed) {
@@ -38,15 +41,15 @@
 	}
 }
 
-// lately returns when the verification of a version began that may be relied on now.
-func (v *verification) lately(k key, now time.Time) (time.Time, bool) {
+// recent returns when the verification of a version began, and whether it may be reused now.
+func (v *verification) recent(k key, now time.Time) (time.Time, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.began, v.of == k && now.Sub(v.began) <= reliedOn
+	return v.began, v.of == k && now.Sub(v.began) <= verificationReuse
 }
 
-// forget drops what was seen: the engine has started again.
-func (v *verification) forget() {
+// reset drops the verification after a restart of the engine.
+func (v *verification) reset() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.of, v.began = key{}, time.Time{}
--- a/internal/staging/listen_test.go
+++ b/internal/staging/watch_test.go
@@ -15,8 +15,8 @@
 	"lynxgate.dev/lynxgate/internal/rpcconn"
 )
 
-// quietPeer tells one piece over its first connection, which is then silent for good,
-// and two over the next one.
+// quietPeer announces one piece on its first stream, which is then silent, and two on
+// the next one.
 type quietPeer struct {
 	rpc.DRPCPiecesUnimplementedServer
 	asked atomic.Int64
@@ -34,7 +34,7 @@
 	return stream.Context().Err()
 }
 
-func TestPeerThatFallsSilentIsAskedAnew(t *testing.T) {
+func TestSilentStreamIsReplaced(t *testing.T) {
 	peer := &quietPeer{}
 	mux := drpcmux.New()
 	require.NoError(t, rpc.DRPCRegisterPieces(mux, peer))
@@ -49,23 +49,23 @@
 	}()
 
 	f := testFetcher([]byte("a"), []byte("b"))
-	f.s.pool, f.g.engine.Pieces, f.told = rpcconn.NewPool(), 2, make(chan heldBy)
+	f.s.pool, f.g.engine.Pieces, f.updates = rpcconn.NewPool(), 2, make(chan peerUpdate)
 	listened := make(chan struct{})
 	go func() {
 		defer close(listened)
-		f.listen(t.Context(), lis.Addr().String())
+		f.watchPeer(t.Context(), lis.Addr().String())
 	}()
 	for {
 		select {
-		case told := <-f.told:
-			f.note(told)
+		case update := <-f.updates:
+			f.handleUpdate(update)
 			continue
 		case <-listened:
 		case <-time.After(time.Minute):
-			t.Fatal("the peer is still listened to over a connection that is silent")
+			t.Fatal("the silent stream was not replaced")
 		}
 		break
 	}
 	assert.Len(t, f.holders[lis.Addr().String()], 2)
-	assert.EqualValues(t, 2, peer.asked.Load(), "one that holds all is not asked again")
+	assert.EqualValues(t, 2, peer.asked.Load(), "no new stream to a peer that has all pieces")
 }
