--- a/internal/gateway/suspicions.go
+++ b/internal/gateway/suspicions.go
@@ -129,7 +129,7 @@
 	s.nonEmpty.Store(true)
 	s.mu.Unlock()
 	if isNew {
-		s.log.Info().Stringer("content", d).Str("server", server).Stringer("verdict", verdict).Bool("alone", alone).Msg("backend server crashed while running a request")
+		s.log.Info().Stringer("content", d).Str("server", server).Stringer("verdict", verdict).Bool("alone", alone).Msg("backend server ended under work")
 		s.publish([]quarantine.News{news})
 	}
 }
