--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain finds, in the logs of several daemons, what happened to one
-// request, and the line that decided how it ended. State: none. Messages: log
-// lines, JSON objects that may stand behind a prefix.
+// Package explain reconstructs from the logs of several daemons what happened
+// to one request, and finds the log line that decided its result. Log lines
+// are JSON objects and may follow a prefix. The package keeps no state.
 package explain
 
 import (
@@ -16,16 +16,16 @@
 )
 
 const (
-	// before and after are the times around a request in which changes of belief
-	// about its backend servers are shown.
+	// before and after extend the time range of a request in which log lines
+	// about its backend servers are included.
 	before = 10 * time.Second
 	after  = 2 * time.Second
 	// maxLine bounds one log line, in bytes.
 	maxLine = 1 << 20
-	// ended is the message of a request's last line.
-	ended = "request ended"
-	// served is the reason of a request that was answered whole.
-	served = "served"
+	// messageEnded is the message of the last log line of a request.
+	messageEnded = "request ended"
+	// reasonServed is the reason of a request that was answered completely.
+	reasonServed = "served"
 )
 
 // Line is one log line.
@@ -37,19 +37,20 @@
 	Fields  map[string]any
 }
 
-// Report is what the logs tell of a request.
+// Report is the history of one request, collected from the logs.
 type Report struct {
-	// Lines in the order of their times: the request's, and those about its
-	// backend servers.
+	// Lines are those of the request and of its backend servers, sorted by time.
 	Lines []Line
-	// Deciding is the index of the line that decided, -1 if there is none.
+	// Deciding is the index in Lines of the line that decided the result, -1 if
+	// there is none.
 	Deciding int
-	// Ended: the logs hold the request's last line.
+	// Ended is true when the logs contain the last line of the request.
 	Ended bool
 	Cause string
 }
 
-// Read finds a request in logs.
+// Read collects the log lines of a request and of its backend servers. It
+// fails if no line names the request.
 func Read(request string, logs ...io.Reader) (*Report, error) {
 	var all []Line
 	for _, log := range logs {
@@ -98,7 +99,7 @@
 		}
 		var fields map[string]any
 		if err := json.Unmarshal(scanner.Bytes()[start:], &fields); err != nil {
-			continue // not a line of a daemon
+			continue // not a log line of a daemon
 		}
 		l := Line{Fields: fields, Text: string(scanner.Bytes()[start:])}
 		l.Daemon, l.Message = l.text("daemon"), l.text("message")
@@ -122,7 +123,8 @@
 	return n
 }
 
-// servers puts into words why the servers of the service did not take a request.
+// servers formats how many servers of the service were in each state when the
+// request was refused.
 func (l Line) servers() string {
 	counts, ok := l.Fields["servers"].(map[string]any)
 	if !ok {
@@ -137,7 +139,7 @@
 	return " (servers: " + strings.Join(parts, ", ") + ")"
 }
 
-// throttled names servers that were not chosen because of their own signals.
+// throttled formats the servers that were excluded because of their own signals.
 func (l Line) throttled() string {
 	list, _ := l.Fields["throttled"].([]any)
 	var parts []string
@@ -154,15 +156,15 @@
 	return " (throttled: " + strings.Join(parts, "; ") + ")"
 }
 
-// decide names the line that decided: the last one about a send that failed, or
-// the end itself.
+// decide finds the line that decided the result: the last one about a failed
+// attempt, or else the last line of the request.
 func (r *Report) decide(request string) {
 	end := -1
 	for i, l := range r.Lines {
 		if l.text("request") != request {
 			continue
 		}
-		if l.Message == ended {
+		if l.Message == messageEnded {
 			end = i
 		} else {
 			r.Deciding = i
@@ -174,14 +176,14 @@
 		return
 	}
 	l := r.Lines[end]
-	if r.Deciding < 0 || (l.text("reason") == served && l.number("sends") <= 1) {
+	if r.Deciding < 0 || (l.text("reason") == reasonServed && l.number("sends") <= 1) {
 		r.Deciding = end
 	}
 	r.Cause = cause(l, r.Lines[r.Deciding])
 }
 
-// endedServers names those that ended under the same work.
-func (l Line) endedServers() string {
+// crashedServers formats the servers that crashed on the same request content.
+func (l Line) crashedServers() string {
 	servers, _ := l.Fields["ended_servers"].([]any)
 	if len(servers) == 0 {
 		return ""
@@ -189,28 +191,30 @@
 	return fmt.Sprintf(" (ended under the same work %v: %v)", l.Fields["content"], servers)
 }
 
-// room tells of a request to an engine that found none how long it might have waited there, and would have.
-func (l Line) room() string {
-	if _, told := l.Fields["soonest_ms"]; !told {
+// capacity formats the predicted and allowed waits of a request that no engine
+// had a free slot for.
+func (l Line) capacity() string {
+	if _, predicted := l.Fields["soonest_ms"]; !predicted {
 		return ""
 	}
 	return fmt.Sprintf(" (prompt of %.0f tokens, waited %.0f ms for room; least wait predicted at a server %.0f ms, longest allowed %.0f ms)",
 		l.number("prompt"), l.number("waited_ms"), l.number("soonest_ms"), l.number("allowed_ms"))
 }
 
-// cause puts the end of a request and the line that decided into words.
+// cause describes the result of a request from its last line and the line that
+// decided it.
 func cause(end, deciding Line) string {
 	status, reason := int(end.number("status")), end.text("reason")
 	switch {
-	case reason == served && end.number("sends") > 1:
+	case reason == reasonServed && end.number("sends") > 1:
 		return fmt.Sprintf("served, after %q at %s", deciding.Message, deciding.text("server"))
-	case reason == served:
+	case reason == reasonServed:
 		return fmt.Sprintf("late at %s: first event after %.0f ms (predicted wait %.0f ms, queue %.0f, told %.0f ms before), longest pause %.0f ms",
 			end.text("server"), end.number("first_ms"), end.number("wait_ms"), end.number("queue"), end.number("load_age_ms"), end.number("gap_ms"))
-	case end.number("sends") == 0 && deciding.Message == ended:
-		return fmt.Sprintf("refused with %d before any send: %s", status, reason) + end.servers() + end.throttled() + end.room() + end.endedServers()
-	case deciding.Message != ended:
-		return fmt.Sprintf("ended with %d (%s) after %q at %s", status, reason, strings.TrimSpace(deciding.Message+" "+deciding.text("cause")), deciding.text("server")) + end.endedServers()
+	case end.number("sends") == 0 && deciding.Message == messageEnded:
+		return fmt.Sprintf("refused with %d before any send: %s", status, reason) + end.servers() + end.throttled() + end.capacity() + end.crashedServers()
+	case deciding.Message != messageEnded:
+		return fmt.Sprintf("ended with %d (%s) after %q at %s", status, reason, strings.TrimSpace(deciding.Message+" "+deciding.text("cause")), deciding.text("server")) + end.crashedServers()
 	}
 	return fmt.Sprintf("ended with %d: %s", status, reason)
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -26,7 +26,7 @@
 	return r
 }
 
-func TestFailedSendDecides(t *testing.T) {
+func TestFailedAttemptDecidesTheResult(t *testing.T) {
 	r := read(t, "r-1")
 	assert.Len(t, r.Lines, 3)
 	assert.Equal(t, "backend server set aside", r.Lines[0].Message)
@@ -36,16 +36,16 @@
 	assert.Contains(t, r.Cause, "s-2")
 }
 
-func TestRefusalDecidesByItself(t *testing.T) {
+func TestRefusalWithoutAnAttempt(t *testing.T) {
 	assert.Equal(t, "refused with 503 before any send: all backend servers are full (servers: aside 1, fit 2, known 3)", read(t, "r-2").Cause)
 }
 
-func TestRefusalForWantOfRoomTellsTheWaits(t *testing.T) {
+func TestRefusalWithoutFreeCapacity(t *testing.T) {
 	assert.Equal(t, "refused with 503 before any send: backend servers are at the limits that they name (servers: known 1, limited 1) (throttled: s-9 by its limit, signalled 40 ms before, free after 900 ms)", read(t, "r-5").Cause)
 	assert.Equal(t, "refused with 503 before any send: all backend servers are full (servers: fit 3, known 3) (prompt of 3880 tokens, waited 80 ms for room; least wait predicted at a server 216 ms, longest allowed 149 ms)", read(t, "r-4").Cause)
 }
 
-func TestLateAnswerTellsWhatWasPredicted(t *testing.T) {
+func TestLateAnswerIncludesThePrediction(t *testing.T) {
 	assert.Equal(t, "late at s-1: first event after 900 ms (predicted wait 20 ms, queue 3, told 80 ms before), longest pause 50 ms", read(t, "r-3").Cause)
 }
 
