--- a/internal/admin/admintest/backend.go
+++ b/internal/admin/admintest/backend.go
@@ -1,7 +1,7 @@
-// Package admintest holds an in-memory admin.Backend for tests of the
-// operators' API, its client and the tool. It keeps the rules of the
-// interface (operation ids, base revisions, validation as a whole) and can be
-// told to fail.
+// Package admintest provides an in-memory admin.Backend for tests of the
+// operators' API, its client and the command-line tool. It implements operation
+// ids, base revisions and validation as the interface demands, and can inject
+// failures.
 package admintest
 
 import (
@@ -29,14 +29,14 @@
 	now       time.Time
 }
 
-// Failure makes one call fail.
+// Failure is the injected failure of one call.
 type Failure struct {
 	Err error
 	// After is true when the call takes effect before it fails.
 	After bool
 }
 
-// New returns a backend that holds the inventory at revision 1.
+// New returns a backend with the inventory at revision 1.
 func New(inv inventory.Inventory) *Backend {
 	b := &Backend{
 		revision:  1,
@@ -53,21 +53,22 @@
 	return b
 }
 
-// Fail makes the next calls of Apply, Get and Status fail, one by one.
+// Fail makes the next calls of Apply, Get and Status fail, one call per failure.
 func (b *Backend) Fail(failures ...Failure) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failures = append(b.failures, failures...)
 }
 
-// SetStatus sets what Status returns; the revision is filled in.
+// SetStatus sets the result of Status, except for its revision.
 func (b *Backend) SetStatus(status admin.Status) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.status = status
 }
 
-// Put sets a key without a change request, as derived keys are.
+// Put sets a key without a change request, like the derived keys of a control
+// server.
 func (b *Backend) Put(key, value string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -76,14 +77,14 @@
 	b.revisions[key] = b.revision
 }
 
-// AuditTrail returns every record so far.
+// AuditTrail returns all audit records.
 func (b *Backend) AuditTrail() []inventory.AuditRecord {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.audit)
 }
 
-// nextFailure takes the failure of this call, if there is one.
+// nextFailure removes and returns the failure of this call, if there is one.
 func (b *Backend) nextFailure() Failure {
 	if len(b.failures) == 0 {
 		return Failure{}
--- a/internal/admin/api.go
+++ b/internal/admin/api.go
@@ -18,27 +18,27 @@
 	DefaultRequestTimeout = 10 * time.Second
 )
 
-// Config of the API; zero fields take the defaults above.
+// Config of the API; the defaults above replace zero values.
 type Config struct {
 	Operators      []Operator
 	MaxBodyBytes   int64
 	MaxHeaderBytes int
-	// RequestTimeout bounds the work for one request. A change that runs
-	// into it has an unknown result.
+	// RequestTimeout bounds the handling of one request. The result of a
+	// change that exceeds it is unknown.
 	RequestTimeout time.Duration
 	Logger         zerolog.Logger
-	// Registerer takes the API's counters; may be nil.
+	// Registerer registers the API's counters; may be nil.
 	Registerer prometheus.Registerer
 }
 
-// Operator is somebody who may use the API.
+// Operator is a person or program that may use the API.
 type Operator struct {
 	Name string
 	// KeyHash is the hex SHA-256 digest of the operator's key.
 	KeyHash string
 }
 
-// API serves operators' requests. It is safe for concurrent use.
+// API serves the requests of operators. It is safe for concurrent use.
 type API struct {
 	cfg     Config
 	backend Backend
@@ -46,7 +46,8 @@
 	metrics metrics
 }
 
-// New returns the API over the backend.
+// New returns an API whose requests the backend carries out. It fails if the
+// key hash of an operator is malformed.
 func New(cfg Config, backend Backend) (*API, error) {
 	setDefaults(&cfg)
 	keys, err := newKeyring(cfg.Operators)
@@ -68,11 +69,11 @@
 	}
 }
 
-// Register adds the API's routes to e. Where e comes from NewEcho, unknown
-// paths and methods are answered with the API's JSON as well.
+// Register adds the API's routes to e. If NewEcho made e, requests with unknown
+// paths and methods get JSON errors, too.
 func (a *API) Register(e *echo.Echo) {
-	// The middleware is given to each route: that of a group would answer
-	// 404 where 405 is right.
+	// The middleware is added to each route because that of an echo group
+	// answers 404 instead of 405.
 	chain := []echo.MiddlewareFunc{
 		a.count,
 		limitHeader(a.cfg.MaxHeaderBytes),
@@ -100,20 +101,20 @@
 	return e
 }
 
-// Bounds on the callers of an API.
+// Limits on clients of the API.
 const (
-	// readHeaderTimeout bounds sending a header, as entries' read_header_timeout does
-	// by default.
+	// readHeaderTimeout bounds the time to read a header. It equals the default
+	// of the entries' read_header_timeout.
 	readHeaderTimeout = 5 * time.Second
-	// readTimeout bounds sending a whole request.
+	// readTimeout bounds the time to read a whole request.
 	readTimeout = 30 * time.Second
-	// idleTimeout closes a connection without requests.
+	// idleTimeout is how long a connection without requests stays open.
 	idleTimeout = 2 * time.Minute
 )
 
-// NewHTTPServer returns a server for the handler with the header limit and
-// timeouts of an API. A header past maxHeaderBytes but under twice as much
-// reaches the API, which can then answer in JSON.
+// NewHTTPServer returns a server with the API's header limit and timeouts. The
+// server itself accepts headers up to twice maxHeaderBytes, so that the API can
+// reject those above maxHeaderBytes with a JSON error.
 func NewHTTPServer(addr string, handler http.Handler, maxHeaderBytes int) *http.Server {
 	return &http.Server{
 		Addr:              addr,
@@ -125,7 +126,7 @@
 	}
 }
 
-// timeout bounds the work for one request.
+// timeout is middleware that sets the deadline of a request.
 func (a *API) timeout(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		ctx, cancel := context.WithTimeout(c.Request().Context(), a.cfg.RequestTimeout)
@@ -135,8 +136,8 @@
 	}
 }
 
-// count counts requests by route and status. It writes errors itself, so
-// that they are the API's JSON whatever error handler the echo instance has.
+// count is middleware that counts requests by route and status. It writes
+// errors itself, so that they are JSON with any error handler of echo.
 func (a *API) count(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if err := next(c); err != nil {
@@ -147,7 +148,7 @@
 	}
 }
 
-// readFailure turns an error of a read into an answer.
+// readFailure converts an error of a read request to an API error.
 func readFailure(err error) error {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return failure(http.StatusServiceUnavailable, CodeNoQuorum, "no answer from a quorum in time")
--- a/internal/admin/auth.go
+++ b/internal/admin/auth.go
@@ -14,8 +14,8 @@
 // operatorKey is the context key of the authenticated operator's name.
 const operatorKey = "operator"
 
-// keyring holds operators' key digests. Callers' keys live in the
-// inventory; the two never mix.
+// keyring holds the digests of operators' keys. Callers' keys are in the
+// inventory; no key may be in both.
 type keyring struct {
 	names   []string
 	digests [][sha256.Size]byte
@@ -34,8 +34,8 @@
 	return ring, nil
 }
 
-// find returns the operator whose key it is. It compares with every key in
-// constant time.
+// find returns the name of the operator that owns the key. It compares with
+// every key in constant time.
 func (k keyring) find(key string) (string, bool) {
 	digest := sha256.Sum256([]byte(key))
 	name, found := "", false
@@ -47,8 +47,8 @@
 	return name, found
 }
 
-// holdsHash reports whether the hex digest belongs to an operator.
-func (k keyring) holdsHash(hexDigest string) bool {
+// containsHash reports whether the hex digest is that of an operator's key.
+func (k keyring) containsHash(hexDigest string) bool {
 	raw, err := hex.DecodeString(hexDigest)
 	if err != nil || len(raw) != sha256.Size {
 		return false
@@ -61,7 +61,7 @@
 	return false
 }
 
-// authenticate lets through requests with an operator's key only.
+// authenticate is middleware that rejects requests without an operator's key.
 func (a *API) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		scheme, key, _ := strings.Cut(c.Request().Header.Get("Authorization"), " ")
--- a/internal/admin/backend.go
+++ b/internal/admin/backend.go
@@ -1,6 +1,6 @@
 // Package admin serves the HTTP API of operators on control servers: changes,
-// configuration, status, audit and consensus membership. It checks keys and
-// requests; the Backend carries them out. The package keeps no state of its own.
+// configuration, status, audit and consensus membership. It authenticates and
+// validates requests; the Backend carries them out. The package keeps no state.
 package admin
 
 import (
@@ -14,46 +14,46 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// Backend is what the API needs from a control server. Every method may
+// Backend is the part of a control server that the API uses. Every method may
 // return *NotLeaderError, ErrNoQuorum or ErrResultUnknown; any other error is
-// reported as an internal one.
+// reported as an internal error.
 type Backend interface {
-	// Apply carries out a change request. The operation id is looked up
-	// before anything else: if a request with it was accepted, that first
-	// result is returned, Repeated set. Refused requests (conflict, invalid)
-	// are not remembered and may be sent again under the same id.
+	// Apply carries out a change request. If a request with the same operation
+	// id was accepted before, Apply returns its result with Repeated set, before
+	// any other check. Rejected requests (conflict, invalid) are not recorded
+	// and may be sent again with the same id.
 	Apply(ctx context.Context, req inventory.ChangeRequest) (inventory.ChangeResult, error)
-	// Get returns the keys below prefix, as confirmed with a quorum.
+	// Get returns the keys with the prefix, at a revision confirmed with a quorum.
 	Get(ctx context.Context, prefix string) (Snapshot, error)
-	// Status returns what this server knows. It answers without a quorum
-	// too, then with Quorum false.
+	// Status returns the status as this server has it. Without a quorum it
+	// still answers, with Quorum false.
 	Status(ctx context.Context) (Status, error)
 	// Audit returns records with a revision above query.Since, oldest first.
 	Audit(ctx context.Context, query AuditQuery) ([]inventory.AuditRecord, error)
-	// Members lists the consensus members, as confirmed with a quorum: a
-	// server that was removed must not answer from what it knew.
+	// Members lists the consensus members, confirmed with a quorum: a removed
+	// server must not answer from its stale state.
 	Members(ctx context.Context) ([]Server, error)
-	// AddServer adds a server as a learner; it becomes a voter when caught
-	// up. Adding a server that is there already succeeds.
+	// AddServer adds a server as a learner, which becomes a voter once it has
+	// caught up. Adding an existing server succeeds.
 	AddServer(ctx context.Context, name, addr string) error
 	// RemoveServer removes a server; removing an absent one succeeds.
 	RemoveServer(ctx context.Context, name string) error
 }
 
-// ErrNoQuorum says that a quorum was out of reach and that nothing was, or
-// will be, accepted.
+// ErrNoQuorum means that no quorum was reachable and that the request was not
+// accepted and will not be.
 var ErrNoQuorum = errors.New("no quorum of control servers in reach")
 
-// ErrResultUnknown says that a request was handed to the log but its result
-// was not seen. It may still be carried out; resending it with the same
-// operation id tells.
+// ErrResultUnknown means that a request was proposed to the log but its result
+// was not received. It may still be carried out; resending it with the same
+// operation id returns the result.
 var ErrResultUnknown = errors.New("result unknown: resend with the same operation id")
 
-// ErrInvalid marks a request of members that can't be carried out, such as
-// the removal of the last voter. Wrap it with the reason.
+// ErrInvalid marks a membership change that can't be carried out, such as the
+// removal of the last voter. Wrap it with the reason.
 var ErrInvalid = errors.New("invalid request")
 
-// NotLeaderError says that another control server leads.
+// NotLeaderError means that this control server is not the leader.
 type NotLeaderError struct {
 	// Leader is the leader's name; empty when unknown.
 	Leader string
@@ -61,7 +61,7 @@
 	AdminAddr string
 }
 
-// Error names the leader where it is known.
+// Error includes the name of the leader if it is known.
 func (e *NotLeaderError) Error() string {
 	if e.Leader == "" {
 		return "not the leader; the leader is not known"
@@ -78,7 +78,7 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Snapshot is a part of the key space at one revision, sorted by key.
+// Snapshot contains the keys of one prefix at one revision, sorted by key.
 type Snapshot struct {
 	Revision uint64     `json:"revision"`
 	Keys     []KeyValue `json:"keys"`
@@ -88,15 +88,15 @@
 type AuditQuery struct {
 	// Since excludes records up to and including this revision.
 	Since uint64
-	// Limit is the most records returned; the API sets it above 0.
+	// Limit is the maximum number of records; the API always sets it above 0.
 	Limit int
-	// Operator and Key select by equality; a Key ending in "/" is a prefix.
+	// Operator and Key must be equal; a Key ending in "/" selects by prefix.
 	Operator string
 	Key      string
 }
 
-// Selects reports whether the record's operator and keys match the query.
-// Since and Limit are left to the caller.
+// Selects reports whether the record's operator and keys match the query. The
+// caller applies Since and Limit.
 func (q AuditQuery) Selects(record inventory.AuditRecord) bool {
 	if q.Operator != "" && q.Operator != record.Operator {
 		return false
@@ -114,7 +114,7 @@
 	return key == q.Key
 }
 
-// Status is what the system does now.
+// Status is the state of the system as one control server has it.
 type Status struct {
 	// Server is the control server that answers.
 	Server string `json:"server"`
@@ -126,7 +126,7 @@
 	// LeaderAdminAddr is the IP:port of the leader's operators' API.
 	LeaderAdminAddr string `json:"leader_admin_addr,omitempty"`
 	Term            uint64 `json:"term"`
-	// Quorum is true when the answering server heard from a quorum lately.
+	// Quorum is true when the answering server recently had contact with a quorum.
 	Quorum   bool           `json:"quorum"`
 	Daemons  []DaemonStatus `json:"daemons"`
 	Laggards []Laggard      `json:"laggards"`
@@ -136,7 +136,7 @@
 	Unmet     []Unmet    `json:"unmet"`
 }
 
-// DaemonStatus is one daemon as last heard of.
+// DaemonStatus is the state of one daemon at its last announcement.
 type DaemonStatus struct {
 	Name string `json:"name"`
 	// Role is control, entry or agent.
@@ -152,7 +152,7 @@
 	Leaving     bool `json:"leaving"`
 	// State is up, leaving or down.
 	State string `json:"state"`
-	// LastSeen is how long ago it was last heard of.
+	// LastSeen is the time since its last announcement.
 	LastSeen time.Duration `json:"last_seen_ns"`
 }
 
@@ -160,7 +160,7 @@
 type Laggard struct {
 	Name     string `json:"name"`
 	Revision uint64 `json:"revision"`
-	// Behind is the number of revisions it lacks.
+	// Behind is the number of revisions that it has not applied.
 	Behind uint64 `json:"behind"`
 	// Reason says why, such as "not heard of for 12s" or "unconfirmed".
 	Reason string `json:"reason"`
@@ -171,14 +171,14 @@
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Live    int    `json:"live"`
-	// Staged replicas hold the whole, verified weights but don't serve them.
+	// Staged replicas have complete, verified weights but don't serve them.
 	Staged   int `json:"staged"`
 	Fetching int `json:"fetching"`
 	Failed   int `json:"failed"`
 	Wanted   int `json:"wanted"`
 }
 
-// Transfer is one VM's fetch of a model version.
+// Transfer is the transfer of a model version to one VM.
 type Transfer struct {
 	VM      string `json:"vm"`
 	Model   string `json:"model"`
@@ -186,13 +186,13 @@
 	// Held and Total are numbers of chunks.
 	Held  int `json:"held"`
 	Total int `json:"total"`
-	// OriginBytes and PeerBytes were received so far, by source.
+	// OriginBytes and PeerBytes are the bytes received so far, by source.
 	OriginBytes uint64 `json:"origin_bytes"`
 	PeerBytes   uint64 `json:"peer_bytes"`
 	Error       string `json:"error,omitempty"`
 }
 
-// Unmet is a rule that can't be met now.
+// Unmet is a placement rule that can't be met at present.
 type Unmet struct {
 	Rule   string `json:"rule"`
 	Reason string `json:"reason"`
--- a/internal/admin/changes.go
+++ b/internal/admin/changes.go
@@ -44,7 +44,7 @@
 	return a.answerChange(c, result, operationID)
 }
 
-// apply hands the request to the backend and counts the verdict.
+// apply passes the request to the backend and counts the verdict.
 func (a *API) apply(ctx context.Context, request inventory.ChangeRequest) (inventory.ChangeResult, error) {
 	result, err := a.backend.Apply(ctx, request)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return invalid
 }
 
-// operatorKeysIn finds organisations that would share a key with an operator.
+// operatorKeysIn reports organisations that would have a key of an operator.
 func (a *API) operatorKeysIn(changes []inventory.Change) []string {
 	records := map[string][]byte{}
 	for _, change := range changes {
@@ -87,12 +87,12 @@
 	}
 	inv, err := inventory.FromRecords(records)
 	if err != nil {
-		return nil // the backend's validation names it
+		return nil // the backend's validation reports it
 	}
 	var problems []string
 	for _, organisation := range inv.Organisations {
 		for i, hash := range organisation.KeyHashes {
-			if a.keys.holdsHash(hash) {
+			if a.keys.containsHash(hash) {
 				problems = append(problems, fmt.Sprintf("%s: key_hashes[%d]: is an operator's key; callers need keys of their own", organisation.Key(), i))
 			}
 		}
@@ -111,7 +111,8 @@
 	return changes
 }
 
-// operationID takes the id from the body or the header; both must agree.
+// operationID returns the id from the body or the header, which must agree if
+// both are set.
 func operationID(c echo.Context, fromBody string) (string, error) {
 	fromHeader := c.Request().Header.Get(HeaderOperationID)
 	if fromBody != "" && fromHeader != "" && fromBody != fromHeader {
@@ -128,7 +129,8 @@
 	return id, nil
 }
 
-// baseRevision takes the revision from the body or If-Match; both must agree.
+// baseRevision returns the revision from the body or If-Match, which must agree
+// if both are set.
 func baseRevision(c echo.Context, fromBody *uint64) (uint64, error) {
 	match := c.Request().Header.Get("If-Match")
 	if match == "" {
--- a/internal/admin/drain.go
+++ b/internal/admin/drain.go
@@ -11,11 +11,12 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// drainTries bounds the attempts of a drain that races other changes.
-const drainTries = 5
+// maxDrainAttempts bounds how often a drain is tried when it conflicts with
+// concurrent changes.
+const maxDrainAttempts = 5
 
-// drain sets or clears a VM's drained mark. It is a change like any other:
-// it needs an operation id and leaves an audit record.
+// drain sets or clears the drained mark of a VM. Like any change, it needs an
+// operation id and adds an audit record.
 func (a *API) drain(drained bool) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		operationID, err := operationID(c, "")
@@ -24,7 +25,7 @@
 		}
 		name := c.Param("vm")
 		var result inventory.ChangeResult
-		for range drainTries {
+		for range maxDrainAttempts {
 			request := inventory.ChangeRequest{OperationID: operationID, Operator: operatorOf(c)}
 			if err := a.prepareDrain(c.Request().Context(), name, drained, &request); err != nil {
 				return err
@@ -41,9 +42,9 @@
 	}
 }
 
-// prepareDrain fills the request from the VM's record in force. The change
-// is made even when the mark stands already, since only the backend can tell
-// whether this operation id was carried out before.
+// prepareDrain fills the request from the current record of the VM. The change
+// is made even if the mark has the wanted value already, since only the backend
+// knows whether this operation id was carried out before.
 func (a *API) prepareDrain(ctx context.Context, name string, drained bool, request *inventory.ChangeRequest) error {
 	vm, revision, err := a.findVM(ctx, name)
 	if err != nil {
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// findVM returns the declared VM, or one made from its announcement: VMs
-// need not be declared before they announce themselves.
+// findVM returns the declared VM, or one built from its announcement: VMs may
+// announce themselves without being declared.
 func (a *API) findVM(ctx context.Context, name string) (inventory.VM, uint64, error) {
 	key := inventory.VM{Name: name}.Key()
 	value, revision, err := a.getOne(ctx, key)
@@ -88,7 +89,8 @@
 	return inventory.VM{Name: name, Zone: member.Zone}, revision, nil
 }
 
-// getOne returns the value of exactly this key, nil when it is absent.
+// getOne returns the value of the key, nil if it is absent, and the revision of
+// the snapshot.
 func (a *API) getOne(ctx context.Context, key string) (json.RawMessage, uint64, error) {
 	snapshot, err := a.backend.Get(ctx, key)
 	if err != nil {
--- a/internal/admin/errors.go
+++ b/internal/admin/errors.go
@@ -9,17 +9,17 @@
 	"github.com/labstack/echo/v4"
 )
 
-// retryAfterSeconds is how long clients wait after 503 and 504: about the
-// time of an election.
+// retryAfterSeconds is the Retry-After of 503 and 504: about the duration of an
+// election.
 const retryAfterSeconds = 1
 
-// apiError is an answer that isn't a success.
+// apiError is an error that is sent to the client with its status and body.
 type apiError struct {
 	status int
 	body   ErrorBody
 }
 
-// Error returns the text for people.
+// Error returns the human-readable text.
 func (e *apiError) Error() string { return e.body.Error }
 
 func failure(status int, code, text string) *apiError {
@@ -30,7 +30,7 @@
 	return failure(http.StatusBadRequest, CodeBadRequest, text)
 }
 
-// backendFailure turns an error of the backend into an answer.
+// backendFailure converts an error of the backend to an API error.
 func backendFailure(err error) error {
 	var notLeader *NotLeaderError
 	switch {
@@ -45,8 +45,8 @@
 	}
 }
 
-// changeFailure is backendFailure for requests that change something: what
-// isn't known to have failed has an unknown result.
+// changeFailure is backendFailure for requests that change something: unless
+// the change is known to have failed, its result is reported as unknown.
 func changeFailure(err error, operationID string) error {
 	known := errors.As(err, new(*NotLeaderError)) || errors.Is(err, ErrNoQuorum) || errors.Is(err, ErrInvalid)
 	if known && !errors.Is(err, ErrResultUnknown) {
@@ -71,7 +71,7 @@
 	return hint
 }
 
-// writeError answers with JSON whatever the error is.
+// writeError sends any error as JSON.
 func writeError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
@@ -83,7 +83,7 @@
 	case http.StatusUnauthorized:
 		c.Response().Header().Set("WWW-Authenticate", `Bearer realm="lynxgate operators"`)
 	}
-	// A failed write means that the client has gone; there is nobody to tell.
+	// A write fails only when the client has disconnected, so the error is ignored.
 	_ = c.JSON(answer.status, answer.body)
 }
 
--- a/internal/admin/limits.go
+++ b/internal/admin/limits.go
@@ -13,7 +13,8 @@
 	"lynxgate.dev/lynxgate/internal/httplimit"
 )
 
-// limitHeader refuses requests whose header is longer than limit bytes.
+// limitHeader is middleware that rejects requests whose header is longer than
+// limit bytes.
 func limitHeader(limit int) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
@@ -26,7 +27,7 @@
 	}
 }
 
-// limitBody makes reads past limit bytes fail.
+// limitBody is middleware that makes reads of the body beyond limit bytes fail.
 func limitBody(limit int64) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
@@ -37,9 +38,9 @@
 	}
 }
 
-// readJSON decodes the body, one JSON value with known fields only.
+// readJSON decodes the body, which must be one JSON value without unknown fields.
 func readJSON(c echo.Context, target any) error {
-	if err := wantJSON(c.Request()); err != nil {
+	if err := requireJSON(c.Request()); err != nil {
 		return err
 	}
 	decoder := json.NewDecoder(c.Request().Body)
@@ -53,7 +54,7 @@
 	return nil
 }
 
-func wantJSON(r *http.Request) error {
+func requireJSON(r *http.Request) error {
 	contentType := r.Header.Get("Content-Type")
 	if contentType == "" {
 		return nil
--- a/internal/admin/reads.go
+++ b/internal/admin/reads.go
@@ -80,7 +80,7 @@
 	return items
 }
 
-// ToItems returns changes in the form of the API.
+// ToItems converts changes to the JSON form of the API.
 func ToItems(changes []inventory.Change) []ChangeItem {
 	items := make([]ChangeItem, len(changes))
 	for i, change := range changes {
--- a/internal/admin/wire.go
+++ b/internal/admin/wire.go
@@ -16,10 +16,11 @@
 	PathServers = "/admin/v1/servers"
 )
 
-// HeaderOperationID carries the operation id when the body doesn't.
+// HeaderOperationID is the header of the operation id, for requests without it
+// in the body.
 const HeaderOperationID = "Operation-Id"
 
-// Codes of ErrorBody, for programs.
+// Machine-readable codes of ErrorBody.
 const (
 	CodeBadRequest      = "bad_request"
 	CodeUnauthorized    = "unauthorized"
@@ -40,15 +41,15 @@
 // ChangeBody is the body of POST /admin/v1/changes.
 type ChangeBody struct {
 	// OperationID is chosen by the client, up to 128 letters, digits, '.',
-	// '_' and '-'; a resend carries the same.
+	// '_' and '-'; a resend must use the same id.
 	OperationID string `json:"operation_id,omitempty"`
-	// BaseRevision is the revision the changes were made from; If-Match may
-	// carry it in its place.
+	// BaseRevision is the revision that the changes are based on; If-Match may
+	// be used instead.
 	BaseRevision *uint64      `json:"base_revision,omitempty"`
 	Changes      []ChangeItem `json:"changes"`
 }
 
-// ChangeItem is one put (a value) or delete (null or no value).
+// ChangeItem puts a key (with a value) or deletes it (null or no value).
 type ChangeItem struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value,omitempty"`
@@ -60,24 +61,24 @@
 	OperationID string `json:"operation_id"`
 }
 
-// ErrorBody is the JSON of every answer that isn't a success.
+// ErrorBody is the JSON body of every error response.
 type ErrorBody struct {
 	// Code is one of the Code constants.
 	Code string `json:"code"`
-	// Error says what went wrong, for people.
+	// Error is the human-readable reason.
 	Error string `json:"error"`
-	// Revision in force, with CodeConflict.
+	// Revision is the current revision, with CodeConflict.
 	Revision uint64 `json:"revision,omitempty"`
 	// Problems of an invalid request.
 	Problems []string `json:"problems,omitempty"`
 	// OperationID to resend with, with CodeResultUnknown.
 	OperationID string `json:"operation_id,omitempty"`
-	// Leader and LeaderAdminAddr say where to go, with CodeNotLeader.
+	// Leader and LeaderAdminAddr identify the leader, with CodeNotLeader.
 	Leader          string `json:"leader,omitempty"`
 	LeaderAdminAddr string `json:"leader_admin_addr,omitempty"`
 }
 
-// AuditItem is an audit record with values as JSON.
+// AuditItem is the JSON form of an audit record.
 type AuditItem struct {
 	Revision    uint64       `json:"revision"`
 	Time        string       `json:"time"`
