--- a/internal/adminclient/calls.go
+++ b/internal/adminclient/calls.go
@@ -16,17 +16,17 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// operationIDBytes are 128 random bits: no two ids are the same.
+// operationIDBytes is the length of operation ids: 128 random bits don't collide.
 const operationIDBytes = 16
 
-// NewOperationID returns a fresh random operation id.
+// NewOperationID returns a new random operation id.
 func NewOperationID() string {
 	var raw [operationIDBytes]byte
 	rand.Read(raw[:])
 	return hex.EncodeToString(raw[:])
 }
 
-// Config returns the keys below prefix.
+// Config returns the configuration keys with the prefix.
 func (c *Client) Config(ctx context.Context, prefix string) (admin.Snapshot, error) {
 	var snapshot admin.Snapshot
 	path := admin.PathConfig + "?prefix=" + url.QueryEscape(prefix)
@@ -34,7 +34,8 @@
 	return snapshot, err
 }
 
-// Apply sends the changes under the operation id until their result is known.
+// Apply sends the changes with the operation id until their result is known or
+// the client's patience is exhausted.
 func (c *Client) Apply(ctx context.Context, operationID string, base uint64, changes []inventory.Change) (admin.ChangeReply, error) {
 	body, err := json.Marshal(admin.ChangeBody{
 		OperationID:  operationID,
@@ -66,29 +67,28 @@
 	return reply, err
 }
 
-// Status returns the leader's status. When the leader isn't reached, it is
-// that of the server which knows most: one with a quorum, then the one with
-// the highest revision.
+// Status returns the status of the leader. If the leader can't be reached, it
+// prefers the status of a server with a quorum, then the highest revision.
 func (c *Client) Status(ctx context.Context) (admin.Status, error) {
 	var best admin.Status
 	err := c.do(ctx, call{method: http.MethodGet, path: admin.PathStatus}, &best)
 	if err != nil {
 		return best, err
 	}
-	for _, base := range c.othersToAsk(best) {
+	for _, base := range c.otherServers(best) {
 		if fromLeader(best) {
 			break
 		}
-		if other, ok := c.statusOf(ctx, base); ok && knowsMore(other, best) {
+		if other, ok := c.statusOf(ctx, base); ok && moreCurrent(other, best) {
 			best = other
 		}
 	}
 	return best, nil
 }
 
-// othersToAsk are the servers besides the one that answered, the leader it
-// named in front.
-func (c *Client) othersToAsk(status admin.Status) []string {
+// otherServers returns the servers except the one that answered, starting with
+// the leader that it named.
+func (c *Client) otherServers(status admin.Status) []string {
 	others := slices.Clone(c.bases[1:])
 	if status.LeaderAdminAddr != "" {
 		scheme, _, _ := strings.Cut(c.bases[0], "://")
@@ -97,7 +97,7 @@
 	return others
 }
 
-// statusOf asks one server, once.
+// statusOf requests the status of one server once.
 func (c *Client) statusOf(ctx context.Context, base string) (admin.Status, bool) {
 	one := &Client{cfg: c.cfg, http: c.http, bases: []string{base}}
 	answer := one.send(ctx, call{method: http.MethodGet, path: admin.PathStatus})
@@ -110,7 +110,7 @@
 	return status.Quorum && status.Server == status.Leader
 }
 
-func knowsMore(a, b admin.Status) bool {
+func moreCurrent(a, b admin.Status) bool {
 	switch {
 	case fromLeader(a) != fromLeader(b):
 		return fromLeader(a)
--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -1,10 +1,10 @@
 // Package adminclient calls the operators' API of the control servers. A
-// request goes to one server after another until one gives a definite
-// answer; a change keeps its operation id throughout, so it is carried out
-// at most once however often it is sent.
+// request is sent to one server after another until one gives a definite
+// answer. A change keeps its operation id, so that it is carried out at most
+// once however often it is sent.
 //
-// A Client keeps only the address it tries first; it is not safe for
-// concurrent use.
+// The only state of a Client is the order in which it tries the addresses. It
+// is not safe for concurrent use.
 package adminclient
 
 import (
@@ -29,14 +29,14 @@
 
 // Defaults of Config.
 const (
-	// DefaultAttemptTimeout is short, so that a frozen server is left soon:
-	// resending elsewhere is safe.
+	// DefaultAttemptTimeout is short to fail over quickly from a hung server;
+	// resending to another one is safe.
 	DefaultAttemptTimeout = 5 * time.Second
 	DefaultPatience       = 30 * time.Second
-	// retryPause lies between two rounds over the addresses.
+	// retryPause is the pause between two rounds over the addresses.
 	retryPause = 500 * time.Millisecond
-	// maxAnswerBytes bounds an answer; the configuration at the target size
-	// stays well below it.
+	// maxAnswerBytes bounds the body of a response; the configuration at the
+	// target size is well below it.
 	maxAnswerBytes = 256 << 20
 )
 
@@ -46,15 +46,15 @@
 	Addrs []string
 	// Key of the operator.
 	Key string
-	// CAFile is a PEM file of certificates to trust besides the system's.
+	// CAFile is a PEM file of CA certificates to trust in addition to the system's.
 	CAFile string
-	// AttemptTimeout bounds one request to one server.
+	// AttemptTimeout bounds each attempt.
 	AttemptTimeout time.Duration
-	// Patience is how long to go on without a definite answer. An attempt
-	// under way at its end is not cut: a server without a quorum takes some
-	// seconds to refuse, and a cut attempt would leave the result unknown.
+	// Patience is how long to start new attempts without a definite answer. It
+	// does not cancel an attempt in progress: a server without a quorum takes some
+	// seconds to refuse, and cancelling would leave the result unknown.
 	Patience time.Duration
-	// Pause waits between rounds; nil sleeps. Tests replace it.
+	// Pause waits between rounds; nil means to sleep. Tests replace it.
 	Pause func(context.Context, time.Duration)
 }
 
@@ -62,11 +62,11 @@
 type Client struct {
 	cfg  Config
 	http *http.Client
-	// bases are the URLs of the servers, the one to try first in front.
+	// bases are the URLs of the servers, in the order to try them.
 	bases []string
 }
 
-// New returns a client; it connects to nothing yet.
+// New returns a client. It does not connect to a server yet.
 func New(cfg Config) (*Client, error) {
 	if len(cfg.Addrs) == 0 {
 		return nil, errors.New("no address of a control server is given")
@@ -131,29 +131,30 @@
 	return scheme + "://" + host, nil
 }
 
-// call is one request of the API, however often it is sent.
+// call is one request to the API, which may take several attempts.
 type call struct {
 	method string
 	path   string
 	body   []byte
-	// operationID of a change; sent as a header.
+	// operationID of a change; sent in a header.
 	operationID string
-	// changes is true when sending the request may change something.
+	// changes is true when the request may change something on the server.
 	changes bool
 }
 
-// attempt is the outcome of sending a call to one server once.
+// attempt is the result of sending a call to one server once.
 type attempt struct {
-	// status is 0 when no whole answer came.
+	// status is 0 when no complete response was received.
 	status int
 	body   []byte
-	// mayHaveRun is true when the server may have acted without our knowing.
+	// mayHaveRun is true when the server may have carried out the call although
+	// the client has no definite answer.
 	mayHaveRun bool
 	err        error
 }
 
-// do sends the call until a server answers definitely, and decodes a success
-// into reply.
+// do sends the call until a server gives a definite answer, and decodes a
+// successful one into reply.
 func (c *Client) do(ctx context.Context, call call, reply any) error {
 	patience, cancel := context.WithTimeout(ctx, c.cfg.Patience)
 	defer cancel()
@@ -179,9 +180,9 @@
 	}
 }
 
-// definite reports whether the answer settles the call. When an earlier
-// sending may have run, only answers that took the operation id into account
-// do.
+// definite reports whether the answer decides the result of the call. If an
+// earlier attempt may have been carried out, only answers that take the
+// operation id into account do.
 func (a attempt) definite(mayHaveRun bool) bool {
 	switch a.status {
 	case 0, http.StatusMisdirectedRequest, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -224,18 +225,20 @@
 	return answer
 }
 
-// failedToConnect reports whether the request never left.
+// failedToConnect reports whether no connection was made, so that the request
+// was not sent.
 func failedToConnect(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
+// unknownStatus reports whether a request answered with the status may have
+// been carried out.
 func unknownStatus(status int) bool {
 	return status == http.StatusGatewayTimeout || status == http.StatusBadGateway || status == http.StatusInternalServerError
 }
 
-// tryNext moves on to the leader when the answer names it, else to the next
-// address.
+// tryNext puts the leader first if the answer names it, else the next address.
 func (c *Client) tryNext(answer attempt) {
 	first := c.bases[0]
 	c.bases = append(c.bases[1:], first)
@@ -247,7 +250,7 @@
 	c.tryFirst(scheme + "://" + refused.Body.LeaderAdminAddr)
 }
 
-// tryFirst puts the server in front, adding it when it isn't known.
+// tryFirst puts the server first in the order, adding it if it is new.
 func (c *Client) tryFirst(base string) {
 	bases := []string{base}
 	for _, other := range c.bases {
--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -40,9 +40,9 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// losing carries out the first requests and drops the connection in place of
-// each answer.
-func losing(handler http.Handler, answers int64) http.Handler {
+// dropAnswers carries out the first requests, as many as answers, and closes the
+// connection instead of answering them.
+func dropAnswers(handler http.Handler, answers int64) http.Handler {
 	var served atomic.Int64
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if served.Add(1) > answers {
@@ -54,7 +54,8 @@
 	})
 }
 
-// newClient doesn't wait between rounds, and gives up after some of them.
+// newClient returns a client that doesn't pause between rounds, and a context
+// that is cancelled after some of them.
 func newClient(t *testing.T, addrs ...string) (*Client, context.Context) {
 	const rounds = 3
 	ctx, cancel := context.WithCancel(context.Background())
@@ -76,14 +77,14 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestALostAnswerIsFetchedByAResend(t *testing.T) {
+func TestResendAfterALostAnswerReturnsTheFirstResult(t *testing.T) {
 	backend := admintest.New(inventory.Inventory{})
 	good := newHandler(t, backend)
-	client, ctx := newClient(t, serve(t, losing(good, 1)), closedAddr(t), serve(t, losing(good, 1)))
+	client, ctx := newClient(t, serve(t, dropAnswers(good, 1)), closedAddr(t), serve(t, dropAnswers(good, 1)))
 	reply, err := client.Apply(ctx, "op-1", 1, zoneZ)
 	require.NoError(t, err)
 	require.Equal(t, uint64(2), reply.Revision)
-	require.True(t, reply.Repeated, "the first sending had been carried out")
+	require.True(t, reply.Repeated, "the first attempt was carried out")
 	require.Len(t, backend.AuditTrail(), 1, "carried out once")
 }
 
@@ -91,7 +92,7 @@
 	backend := admintest.New(inventory.Inventory{
 		Zones: []inventory.Zone{{Name: "z", Region: "r"}}, VMs: []inventory.VM{{Name: "vm-1", Zone: "z"}},
 	})
-	client, ctx := newClient(t, serve(t, losing(newHandler(t, backend), 2)))
+	client, ctx := newClient(t, serve(t, dropAnswers(newHandler(t, backend), 2)))
 	reply, err := client.SetDrained(ctx, "op-1", "vm-1", true)
 	require.NoError(t, err)
 	require.True(t, reply.Repeated)
@@ -101,7 +102,7 @@
 func TestOutcomesWithoutADefiniteAnswer(t *testing.T) {
 	backend := admintest.New(inventory.Inventory{})
 	good := newHandler(t, backend)
-	deaf := losing(good, 1000)
+	neverAnswering := dropAnswers(good, 1000)
 	denying := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusUnauthorized) })
 	noQuorum := admintest.New(inventory.Inventory{})
 	for range 10 {
@@ -112,22 +113,22 @@
 	_, err := client.Apply(ctx, "op-1", 1, zoneZ)
 	require.ErrorAs(t, err, new(*UnreachableError), "nothing was carried out")
 
-	client, ctx = newClient(t, serve(t, deaf))
+	client, ctx = newClient(t, serve(t, neverAnswering))
 	_, err = client.Apply(ctx, "op-1", 1, zoneZ)
 	var unknown *UnknownError
 	require.ErrorAs(t, err, &unknown)
 	require.Equal(t, "op-1", unknown.OperationID)
 
-	client, ctx = newClient(t, serve(t, losing(denying, 1)))
+	client, ctx = newClient(t, serve(t, dropAnswers(denying, 1)))
 	_, err = client.Apply(ctx, "op-2", 1, zoneZ)
-	require.ErrorAs(t, err, &unknown, "a later refusal that ignores the operation id settles nothing")
+	require.ErrorAs(t, err, &unknown, "a later refusal that ignores the operation id is not definite")
 
-	client, ctx = newClient(t, serve(t, deaf))
+	client, ctx = newClient(t, serve(t, neverAnswering))
 	_, err = client.Config(ctx, "")
 	require.ErrorAs(t, err, new(*UnreachableError), "a read changes nothing")
 }
 
-func TestAnAttemptUnderWayIsNotCutByPatience(t *testing.T) {
+func TestPatienceDoesNotCancelAnAttemptInProgress(t *testing.T) {
 	refusing := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(100 * time.Millisecond)
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -138,7 +139,7 @@
 	require.ErrorAs(t, err, new(*UnreachableError))
 }
 
-func TestAnUnknownResultIsResolvedByAnotherServer(t *testing.T) {
+func TestResendAfterAnUnknownResult(t *testing.T) {
 	backend := admintest.New(inventory.Inventory{})
 	backend.Fail(admintest.Failure{Err: admin.ErrResultUnknown, After: true})
 	client, ctx := newClient(t, serve(t, newHandler(t, backend)))
@@ -148,7 +149,7 @@
 	require.Len(t, backend.AuditTrail(), 1)
 }
 
-func TestTheLeaderIsFollowed(t *testing.T) {
+func TestRedirectToTheLeader(t *testing.T) {
 	leader := admintest.New(inventory.Inventory{})
 	leaderAddr := serve(t, newHandler(t, leader))
 	follower := admintest.New(inventory.Inventory{})
@@ -160,7 +161,7 @@
 	require.Empty(t, follower.AuditTrail())
 }
 
-func TestStatusOfTheServerThatKnowsMost(t *testing.T) {
+func TestStatusPrefersTheLeaderThenAQuorum(t *testing.T) {
 	leader, follower, removed := admintest.New(inventory.Inventory{}), admintest.New(inventory.Inventory{}), admintest.New(inventory.Inventory{})
 	leaderAddr, followerAddr := serve(t, newHandler(t, leader)), serve(t, newHandler(t, follower))
 	removedAddr := serve(t, newHandler(t, removed))
--- a/internal/adminclient/errors.go
+++ b/internal/adminclient/errors.go
@@ -17,7 +17,7 @@
 	Body   admin.ErrorBody
 }
 
-// Error names the cause and every problem.
+// Error includes the reason and every problem.
 func (e *APIError) Error() string {
 	text := fmt.Sprintf("%s: %s", e.Server, e.Body.Error)
 	if e.Body.Error == "" {
@@ -29,22 +29,22 @@
 	return text
 }
 
-// UnreachableError says that no control server with a quorum answered in
-// time; nothing was changed.
+// UnreachableError means that no control server with a quorum answered in time.
+// Nothing was changed.
 type UnreachableError struct {
-	// Last is what the last attempt ended with.
+	// Last is the error of the last attempt.
 	Last error
 }
 
-// Error names the last failure.
+// Error includes the error of the last attempt.
 func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("no control server with a quorum in reach: %v", e.Last)
 }
 
-// Unwrap returns the last failure.
+// Unwrap returns the error of the last attempt.
 func (e *UnreachableError) Unwrap() error { return e.Last }
 
-// UnknownError says that a change was sent and no answer told what became of it.
+// UnknownError means that a change was sent and no answer gave its result.
 type UnknownError struct {
 	// OperationID to resend with; empty for changes of consensus members,
 	// which are idempotent by themselves.
@@ -52,7 +52,7 @@
 	Last        error
 }
 
-// Error says how to find out.
+// Error says how to obtain the result.
 func (e *UnknownError) Error() string {
 	if e.OperationID == "" {
 		return fmt.Sprintf("the result is not known; sending the same again is safe: %v", e.Last)
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("the result is not known; resend with operation id %s to find out: %v", e.OperationID, e.Last)
 }
 
-// Unwrap returns the last failure.
+// Unwrap returns the error of the last attempt.
 func (e *UnknownError) Unwrap() error { return e.Last }
 
 func noDefiniteAnswer(call call, mayHaveRun bool, last error) error {
