--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// chunksDir and floorFile lie in an agent's scratch folder.
+	// chunksDir and floorFile are names in an agent's scratch folder. floorFile
+	// stores the revision floor of the configuration feed.
 	chunksDir = "weights"
 	floorFile = "revision"
 )
@@ -52,11 +53,13 @@
 	return r, err
 }
 
-// agentPrefixes are the keys that an agent follows.
+// agentPrefixes are the prefixes of the configuration keys that an agent
+// subscribes to.
 var agentPrefixes = []string{inventory.PrefixAssign, inventory.PrefixModel}
 
-// newFeed subscribes to the sources in feeds, in an order of this daemon's
-// own, and then to the control servers.
+// newFeed returns a client of the configuration feed. It prefers the sources in
+// feeds to the control servers, each in a rendezvous order by the daemon's name
+// that spreads the subscribers over the sources.
 func (d *daemon) newFeed(feeds, control []string, dir string, prefixes []string) (*configfeed.Client, error) {
 	upstreams := configfeed.RendezvousOrder(d.settings.Name, feeds)
 	upstreams = append(upstreams, configfeed.RendezvousOrder(d.settings.Name, control)...)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,8 +1,9 @@
 // Package daemon assembles a lynxgated process from its settings: the roles,
-// the listeners they share, and a graceful stop in the right order.
+// the listeners they share, and the order of a graceful stop.
 //
-// State: none beside the roles. On a stop every role first refuses new work
-// and says so, then finishes what is in progress, then the listeners close.
+// On a stop, every role first refuses new work and announces that it leaves,
+// then finishes work in progress; then the listeners close. The package keeps
+// no state except the roles.
 package daemon
 
 import (
@@ -22,31 +23,31 @@
 	"lynxgate.dev/lynxgate/internal/settings"
 )
 
-// role is one duty of the daemon.
+// role is one of the services that a daemon can run: control, entry or agent.
 type role interface {
 	// register adds the role's services to the daemon's drpc listener.
 	register(mux *drpcmux.Mux) error
-	// run works until ctx is done.
+	// run runs the role until ctx is done.
 	run(ctx context.Context) error
-	// leave refuses new work, tells so and waits for work in progress until
-	// ctx is done. The role still runs meanwhile.
+	// leave refuses new work, announces that, and waits for work in progress until
+	// ctx is done. It is called while run is still running.
 	leave(ctx context.Context) error
-	// ready reports whether the role can do its work, with a reason if not.
+	// ready reports whether the role can serve requests, with a reason if not.
 	ready() (reason string, ok bool)
 }
 
-// Daemon is one running process.
+// daemon is the state of one running process.
 type daemon struct {
 	settings *settings.Settings
 	log      zerolog.Logger
 	registry *prometheus.Registry
 	roles    []role
-	// incarnation rises with every start of the process.
+	// incarnation identifies this start of the process; later ones are higher.
 	incarnation uint64
 }
 
-// Run runs the daemon until stop is done, and then stops it gracefully. An
-// error says that it could not start, failed, or cut work in progress.
+// Run runs the daemon until stop is done, and then stops it gracefully. It
+// returns an error if the daemon can't start, fails, or aborts work in progress.
 func Run(stop context.Context, s *settings.Settings, log zerolog.Logger) error {
 	tuneMemory()
 	d := &daemon{
@@ -86,7 +87,8 @@
 	return nil
 }
 
-// serve runs listeners and roles, and stops them in order.
+// serve runs the listeners and roles until stop is done or one of them fails,
+// and then stops the roles before the listeners.
 func (d *daemon) serve(stop context.Context) error {
 	mux := drpcmux.New()
 	for _, r := range d.roles {
@@ -103,8 +105,8 @@
 		lis.Close()
 		return err
 	}
-	running, end := context.WithCancel(context.Background())
-	defer end()
+	running, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	group, ctx := errgroup.WithContext(running)
 	group.Go(func() error { return rpcconn.Serve(ctx, lis, mux) })
 	group.Go(func() error { return web.serve(ctx) })
@@ -117,11 +119,11 @@
 	case <-ctx.Done():
 	}
 	leaveErr := d.leave()
-	end()
+	cancel()
 	return errors.Join(leaveErr, ignoreCanceled(group.Wait()))
 }
 
-// leave lets every role finish its work within the drain timeout.
+// leave calls leave of all roles concurrently, bounded by the drain timeout.
 func (d *daemon) leave() error {
 	d.log.Info().Msg("stopping: refusing new work, finishing work in progress")
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTimeout)
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// routingPolicy returns the policy of a setting; those but the default are
-// baselines for comparison.
+// routingPolicy returns the policy with the name in the settings. All except
+// the default are baselines for comparison.
 func routingPolicy(name string) routing.Policy {
 	switch name {
 	case "random":
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -5,13 +5,13 @@
 	"runtime/debug"
 )
 
-// gcPercent is how far the heap may grow between two collections, in percent
-// of what is live. A daemon's budget is memory rather than processor time, so
-// it is half of Go's own default. A soft limit (GOMEMLIMIT) is not set: a
-// daemon with more live memory than that would collect without end.
+// gcPercent is the GOGC value: the heap growth between two collections in
+// percent of the live heap. It is half of Go's default because memory is scarcer
+// than CPU time for a daemon. A soft limit (GOMEMLIMIT) is not set: a daemon
+// with more live memory than the limit would collect continuously.
 const gcPercent = 50
 
-// tuneMemory sets the collector, unless the operator has with GOGC.
+// tuneMemory configures the garbage collector, unless the operator sets GOGC.
 func tuneMemory() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
--- a/internal/daemon/web.go
+++ b/internal/daemon/web.go
@@ -14,11 +14,11 @@
 	"lynxgate.dev/lynxgate/internal/admin"
 )
 
-// webShutdownTimeout bounds the end of requests in progress.
+// webShutdownTimeout bounds the graceful shutdown of the HTTP server.
 const webShutdownTimeout = 5 * time.Second
 
-// routes is implemented by roles that serve more on the daemon's HTTP
-// address than metrics and health.
+// routes is implemented by roles that add routes to the daemon's HTTP server
+// besides metrics and health.
 type routes interface {
 	mount(e *echo.Echo)
 }
@@ -54,8 +54,8 @@
 	return w, nil
 }
 
-// readyz answers 200 when every role can do its work, and 503 with the
-// reasons otherwise.
+// readyz answers 200 when all roles are ready, and otherwise 503 with the reason
+// of the first role that is not.
 func (d *daemon) readyz(c echo.Context) error {
 	for _, r := range d.roles {
 		if reason, ok := r.ready(); !ok {
@@ -65,7 +65,7 @@
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// serve answers until ctx is done, then lets requests in progress end.
+// serve serves requests until ctx is done, then shuts the server down gracefully.
 func (w *webServer) serve(ctx context.Context) error {
 	stopped := context.AfterFunc(ctx, func() {
 		shutdown, cancel := context.WithTimeout(context.Background(), webShutdownTimeout)
