--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -122,7 +122,7 @@
 	d.Report(key, "must be %s, not %s", want, typeName(value))
 }
 
-// listItems accepts both shapes the TOML library uses for lists.
+// listItems accepts both types that the TOML library uses for lists.
 func listItems(value any) ([]any, bool) {
 	switch list := value.(type) {
 	case []any:
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -11,9 +11,9 @@
 	keyPattern    = regexp.MustCompile(`^\s*([A-Za-z0-9_.\-"]+)\s*=`)
 )
 
-// indexLines finds the line of every key. The TOML library doesn't tell
-// lines of keys in lists of tables, so the source is scanned here; a key it
-// can't see (inside an inline table) falls back to the line of its parent.
+// indexLines maps keys to their lines. It scans the source because the TOML
+// library has no line numbers of keys in lists of tables. It does not find keys
+// in inline tables; Document.Line then returns the line of the parent key.
 func indexLines(source string) map[string]int {
 	index := lineIndex{lines: map[string]int{}, counts: map[string]int{}}
 	for i, line := range strings.Split(source, "\n") {
@@ -22,12 +22,13 @@
 	return index.lines
 }
 
+// lineIndex is the state of a scan over the lines of a file.
 type lineIndex struct {
 	lines map[string]int
-	// counts holds how many tables each list of tables has so far.
+	// counts is the number of tables seen so far, by list of tables.
 	counts map[string]int
 	table  string
-	// inString is the delimiter of the multi-line string being skipped.
+	// inString is the closing delimiter while a multi-line string is skipped.
 	inString string
 }
 
@@ -67,12 +68,15 @@
 	x.lines[path] = number
 }
 
+// markFirst sets the line of a path that has none yet.
 func (x *lineIndex) markFirst(path string, number int) {
 	if _, ok := x.lines[path]; !ok {
 		x.lines[path] = number
 	}
 }
 
+// openString detects the start of a multi-line string that does not end on the
+// same line.
 func (x *lineIndex) openString(line string) {
 	for _, delimiter := range []string{`"""`, `'''`} {
 		if strings.Count(line, delimiter) == 1 {
--- a/internal/tomlfile/problem.go
+++ b/internal/tomlfile/problem.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Problem is one fault found in a file.
+// Problem is one error found in a file.
 type Problem struct {
 	File string
 	// Line is the line of the key, starting at 1; 0 when the key is absent.
 	Line int
 	// Key is the full key with indexes from 0, such as "control.peer[1].addr".
 	Key string
-	// Message says what is wrong and what is allowed.
+	// Message is what is wrong and what is allowed.
 	Message string
 }
 
@@ -30,7 +30,7 @@
 	return b.String()
 }
 
-// Problems is every fault found; it is an error when it is not empty.
+// Problems is a list of problems that is used as an error; it is never empty then.
 type Problems []Problem
 
 // Error returns one line for each problem.
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,8 +1,8 @@
-// Package tomlfile reads TOML strictly: unknown keys and wrong types are
-// collected with file, line and key, all of them in one pass, so that a
-// reader of settings or inventory can report every fault at once.
+// Package tomlfile decodes TOML strictly. It collects all unknown keys and
+// wrong types with file, line and key in one pass, so that an operator sees
+// every problem of a settings or inventory file at once.
 //
-// A Document is used by one goroutine and keeps no state beyond its file.
+// A Document is not safe for concurrent use.
 package tomlfile
 
 import (
@@ -26,8 +26,8 @@
 	problems Problems
 }
 
-// Parse parses data. A syntax error ends up in Err, after which the document
-// is empty.
+// Parse parses data; file is its name in problems. Err returns a syntax error,
+// in which case the document is empty.
 func Parse(file string, data []byte) *Document {
 	d := &Document{
 		file:     file,
@@ -51,18 +51,17 @@
 	return d
 }
 
-// Decode stores the document into the struct that target points to. Fields
-// are matched by their toml tags; what can't be stored is reported and the
-// field keeps the value it had.
+// Decode stores the document in the struct that target points to. Keys are
+// matched to fields by their toml tags. A value that can't be stored is reported,
+// and its field keeps its previous value.
 func (d *Document) Decode(target any) {
 	d.decodeTable("", d.values, reflect.ValueOf(target).Elem())
 }
 
-// Has reports whether the file sets the key.
+// Has reports whether the file sets the key. It is valid after Decode.
 func (d *Document) Has(key string) bool { return d.present[key] }
 
-// Line returns the line of the key, or of the closest table around it; 0
-// when there is none.
+// Line returns the line of the key or of its closest parent that has one, or 0.
 func (d *Document) Line(key string) int {
 	for key != "" {
 		if line, ok := d.lines[key]; ok {
@@ -73,9 +72,8 @@
 	return 0
 }
 
-// Report adds a problem with the key. Only the first problem of a key is
-// kept: what follows from it (a wrong type leaves the field empty) adds
-// nothing.
+// Report adds a problem with the key. Only the first problem of a key is kept,
+// since later ones are often its consequence: a wrong type leaves the field empty.
 func (d *Document) Report(key, format string, args ...any) {
 	if d.reported[key] {
 		return
@@ -89,7 +87,7 @@
 	})
 }
 
-// Problems returns what was found so far, in order of lines.
+// Problems returns the problems found so far, sorted by line.
 func (d *Document) Problems() Problems {
 	sorted := slices.Clone(d.problems)
 	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].Line < sorted[j].Line })
