--- a/internal/settings/addrs.go
+++ b/internal/settings/addrs.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// listenAddr checks an address to listen on; all interfaces are allowed.
+// listenAddr checks an address to listen on; it may be the unspecified address.
 func (c checker) listenAddr(key, value string) {
 	c.addr(key, value)
 }
@@ -18,6 +18,7 @@
 	}
 }
 
+// loopbackAddr checks the address of a backend server on the same VM.
 func (c checker) loopbackAddr(key, value string) {
 	addr, ok := c.addr(key, value)
 	if ok && !addr.Addr().IsLoopback() {
@@ -54,7 +55,8 @@
 	}
 }
 
-// distinctListeners checks that no two listeners of the daemon share an address.
+// distinctListeners checks that the listeners of the daemon have different
+// addresses.
 func (c checker) distinctListeners(s *Settings) {
 	listeners := [][2]string{{"rpc_addr", s.RPCAddr}, {"http_addr", s.HTTPAddr}}
 	if s.Entry != nil {
--- a/internal/settings/bad_input_test.go
+++ b/internal/settings/bad_input_test.go
@@ -20,8 +20,8 @@
 	modelPart   = agentPart + "scratch_dir = \"scratch\"\n"
 )
 
-// TestBadInput gives for each fault the whole message: file, line, key, what
-// is wrong and what is allowed.
+// TestBadInput checks the whole error message of each fault: file, line, key,
+// what is wrong and what is allowed.
 func TestBadInput(t *testing.T) {
 	cases := map[string]struct{ text, want string }{
 		"unknown key":           {entryPart + "queue_size = 3\n", `f.toml:10: entry.queue_size: unknown key; allowed here: callers_addr, control, default_deadline, feeds, idle_timeout, max_body_bytes, max_connections, max_header_bytes, policy, queue_length, read_header_timeout, retry_budget_ratio, tls_cert, tls_key, watch_subset`},
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestDefaultsAndPresence(t *testing.T) {
+func TestDefaultsAndAbsentRoles(t *testing.T) {
 	for _, text := range []string{controlPart + peerPart, entryPart, modelPart} {
 		_, err := Parse("f.toml", []byte(text))
 		require.NoError(t, err)
@@ -90,7 +90,7 @@
 	require.Equal(t, defaultDrainTimeout, s.DrainTimeout)
 }
 
-func TestLoadNamesAMissingFile(t *testing.T) {
+func TestLoadOfAMissingFile(t *testing.T) {
 	_, err := Load("no-such-file.toml")
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -7,7 +7,7 @@
 	"lynxgate.dev/lynxgate/internal/tomlfile"
 )
 
-// Values taken where the file is silent.
+// Defaults of keys that the file does not set.
 const (
 	defaultLogLevel     = "info"
 	defaultDrainTimeout = 2 * time.Minute
@@ -36,7 +36,7 @@
 	defaultStrategy    = "swarm"
 )
 
-// withDefaults returns settings that hold every default, in all roles.
+// withDefaults returns settings with all defaults, for all roles.
 func withDefaults() *Settings {
 	return &Settings{
 		LogLevel:     defaultLogLevel,
@@ -71,7 +71,7 @@
 	}
 }
 
-// dropAbsentRoles leaves only the tables that the file has.
+// dropAbsentRoles removes the defaults of roles whose table the file does not have.
 func dropAbsentRoles(doc *tomlfile.Document, s *Settings) {
 	if !doc.Has("control") {
 		s.Control = nil
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -27,9 +27,9 @@
 	inventoryFile = "../inventory/inventory.go"
 )
 
-// TestConfigurationPage checks that the tables of docs/CONFIGURATION.md are
-// those that the doc comments, types and defaults in the code give. Run with
-// -update to write them.
+// TestConfigurationPage checks that the tables of docs/CONFIGURATION.md match
+// the doc comments, types and defaults in the code. Run it with -update to
+// rewrite them.
 func TestConfigurationPage(t *testing.T) {
 	page, err := os.ReadFile(docsFile)
 	require.NoError(t, err)
@@ -95,7 +95,8 @@
 	return b.String()
 }
 
-// writeTable writes one table; lists of tables get tables of their own.
+// writeTable writes the table of one struct. It skips fields that are TOML
+// tables, which have tables of their own.
 func writeTable(t *testing.T, b *strings.Builder, title string, value reflect.Value, docs map[string]string, required func(string) bool) {
 	fmt.Fprintf(b, "\n### %s\n\n| Key | Type | Unit | Default | Meaning |\n|---|---|---|---|---|\n", title)
 	for i := range value.NumField() {
@@ -114,8 +115,8 @@
 	}
 }
 
-// forUsers turns a doc comment into a sentence of the page: the Go name in
-// front goes, and the names of other fields become their keys.
+// forUsers converts a doc comment to a sentence of the page: it drops the Go name
+// at the start and replaces the names of other fields by their keys.
 func forUsers(doc, name string, structType reflect.Type) string {
 	verb := regexp.MustCompile(`^` + name + ` (?:(?:is|are) |(lists|bounds|holds|closes|overrides|decides))`)
 	doc = verb.ReplaceAllString(doc, "$1")
@@ -160,7 +161,8 @@
 	}
 }
 
-// unitOf names the unit that the key ends in; durations carry their own.
+// unitOf returns the unit that the suffix of the key gives. Durations have
+// their unit in the value.
 func unitOf(key string, fieldType reflect.Type) string {
 	switch {
 	case fieldType == reflect.TypeFor[time.Duration]():
@@ -196,7 +198,7 @@
 	return fmt.Sprintf("`%v`", value.Interface())
 }
 
-// hourSuffix gives back the unit that trimming "h0m" took away.
+// hourSuffix returns the unit that trimming "h0m" has removed.
 func hourSuffix(text string) string {
 	if strings.HasSuffix(text, "h0m") {
 		return "h"
@@ -204,7 +206,7 @@
 	return ""
 }
 
-// requiredKeys are the keys that empty tables are refused without.
+// requiredKeys returns the keys that are reported as missing in empty tables.
 func requiredKeys(t *testing.T) map[string]bool {
 	_, err := Parse("f", []byte("roles = [\"control\", \"entry\"]\n[entry]\n[agent]\n[control]\n[[control.peer]]\n[[control.operator]]\n"))
 	var problems tomlfile.Problems
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,8 @@
-// Package settings reads the TOML settings of lynxgated and checks them
-// whole before anything starts: every fault is reported at once with file,
-// line, key and what is allowed.
+// Package settings reads and validates the TOML settings of lynxgated. All
+// faults are reported at once, each with file, line, key and what is allowed.
 //
-// The package keeps no state. The doc comments of the fields are the source
-// for operators' documentation in docs/CONFIGURATION.md.
+// The package keeps no state. The tables in docs/CONFIGURATION.md are generated
+// from the doc comments of the fields.
 package settings
 
 import (
@@ -16,7 +15,7 @@
 	"lynxgate.dev/lynxgate/internal/tomlfile"
 )
 
-// Role is a duty a daemon takes on.
+// Role is a service that a daemon runs.
 type Role string
 
 // The roles of a daemon.
@@ -30,14 +29,14 @@
 type Settings struct {
 	// Name of the daemon, unique in the system; for an agent the VM's name.
 	Name string `toml:"name"`
-	// Zone is the availability zone the daemon stands in.
+	// Zone is the availability zone of the daemon.
 	Zone string `toml:"zone"`
-	// Region the zone belongs to.
+	// Region is the region of the zone.
 	Region string `toml:"region"`
-	// Roles the daemon takes on: "control", "entry" or "agent". Control and
-	// entry may share a daemon; an agent stands alone.
+	// Roles are the roles of the daemon: "control", "entry" or "agent". One daemon
+	// may have both control and entry; an agent has no other role.
 	Roles []string `toml:"roles"`
-	// RPCAddr is the IP:port other daemons reach this one at.
+	// RPCAddr is the IP:port that other daemons connect to.
 	RPCAddr string `toml:"rpc_addr"`
 	// HTTPAddr is the IP:port of /metrics, /healthz, /readyz and, for the
 	// control role, the operators' API.
@@ -57,33 +56,33 @@
 
 // Control are the settings of the control role.
 type Control struct {
-	// DataDir is the folder on a disk for the log and snapshots; it must
-	// outlive restarts.
+	// DataDir is the folder on a disk for the log and snapshots; its contents
+	// must survive restarts.
 	DataDir string `toml:"data_dir"`
-	// Peers are the initial voters, this server among them, the same on
-	// each. A server that isn't named joins as a learner.
+	// Peers are the initial voters including this server, the same list on all
+	// of them. A server that isn't listed joins as a learner.
 	Peers []Peer `toml:"peer"`
-	// Operators who may use the operators' API.
+	// Operators are those who may use the operators' API.
 	Operators []Operator `toml:"operator"`
-	// TLSCert is the PEM file of the operators' API certificate; plain HTTP
-	// when neither it nor TLSKey is set.
+	// TLSCert is the PEM file of the operators' API certificate; without it and
+	// TLSKey, the API uses plain HTTP.
 	TLSCert string `toml:"tls_cert"`
 	// TLSKey is the PEM file of the certificate's private key.
 	TLSKey string `toml:"tls_key"`
-	// TickInterval is the unit of consensus time.
+	// TickInterval is the duration of one tick of the consensus clock.
 	TickInterval time.Duration `toml:"tick_interval"`
-	// HeartbeatTicks are ticks between two heartbeats of the leader.
+	// HeartbeatTicks is the number of ticks between two heartbeats of the leader.
 	HeartbeatTicks int `toml:"heartbeat_ticks"`
-	// ElectionTicks are ticks without a heartbeat before an election; the
-	// server adds up to as many again at random.
+	// ElectionTicks is the number of ticks without a heartbeat before an election;
+	// the server adds a random number of ticks up to the same number.
 	ElectionTicks int `toml:"election_ticks"`
-	// SnapshotEntries are log entries between two snapshots.
+	// SnapshotEntries is the number of log entries between two snapshots.
 	SnapshotEntries int `toml:"snapshot_entries"`
 	// Lease is how long an agent or entry counts as up after its last
-	// announcement; daemons renew three times in a lease.
+	// announcement; daemons renew it three times per lease.
 	Lease time.Duration `toml:"lease"`
-	// ClaimWindow is how long the outcome of an at-most-once request is kept
-	// for repeats of its key.
+	// ClaimWindow is how long the outcome of an at-most-once request is kept to
+	// answer repeated requests with the same key.
 	ClaimWindow time.Duration `toml:"claim_window"`
 	// AuditWindow is how long audit records are kept.
 	AuditWindow time.Duration `toml:"audit_window"`
@@ -95,14 +94,14 @@
 	Name string `toml:"name"`
 	// Addr is the IP:port of its rpc_addr.
 	Addr string `toml:"addr"`
-	// AdminAddr is the IP:port of its http_addr, told to operators' tools
-	// that asked another server; may be empty.
+	// AdminAddr is the IP:port of its http_addr, to which other servers redirect
+	// operators' tools; may be empty.
 	AdminAddr string `toml:"admin_addr"`
 }
 
 // Operator may use the operators' API.
 type Operator struct {
-	// Name that the audit trail shows.
+	// Name is the operator's name in the audit records.
 	Name string `toml:"name"`
 	// KeyHash is the hex SHA-256 digest of the operator's key.
 	KeyHash string `toml:"key_hash"`
@@ -114,77 +113,77 @@
 	CallersAddr string `toml:"callers_addr"`
 	// Control lists rpc addresses of control servers.
 	Control []string `toml:"control"`
-	// Feeds lists rpc addresses of other entries, asked for configuration
+	// Feeds lists rpc addresses of other entries that provide the configuration
 	// when no control server answers.
 	Feeds []string `toml:"feeds"`
-	// TLSCert is the PEM file of the callers' certificate; plain HTTP when
-	// neither it nor TLSKey is set.
+	// TLSCert is the PEM file of the certificate for callers; without it and
+	// TLSKey, the entry uses plain HTTP.
 	TLSCert string `toml:"tls_cert"`
 	// TLSKey is the PEM file of the certificate's private key.
 	TLSKey string `toml:"tls_key"`
-	// MaxBodyBytes is the largest request body taken from a caller.
+	// MaxBodyBytes is the largest request body accepted from a caller.
 	MaxBodyBytes int64 `toml:"max_body_bytes"`
-	// MaxHeaderBytes is the largest request header taken from a caller.
+	// MaxHeaderBytes is the largest request header accepted from a caller.
 	MaxHeaderBytes int `toml:"max_header_bytes"`
 	// ReadHeaderTimeout bounds how long a caller may take to send a header.
 	ReadHeaderTimeout time.Duration `toml:"read_header_timeout"`
-	// IdleTimeout closes a caller's connection without requests.
+	// IdleTimeout is how long a caller's connection without requests stays open.
 	IdleTimeout time.Duration `toml:"idle_timeout"`
-	// MaxConnections is the most connections of callers at once.
+	// MaxConnections is the maximum number of concurrent connections of callers.
 	MaxConnections int `toml:"max_connections"`
-	// QueueLength is the most requests waiting for a backend server.
+	// QueueLength is the maximum number of requests in the wait queue.
 	QueueLength int `toml:"queue_length"`
-	// DefaultDeadline holds for requests that name none.
+	// DefaultDeadline is the deadline of requests that set none.
 	DefaultDeadline time.Duration `toml:"default_deadline"`
-	// RetryBudgetRatio is the most retries per request, over all requests.
+	// RetryBudgetRatio is the maximum ratio of retries to requests, over all requests.
 	RetryBudgetRatio float64 `toml:"retry_budget_ratio"`
 	// WatchSubset is how many agents of each service this entry watches and
 	// sends requests to.
 	WatchSubset int `toml:"watch_subset"`
-	// Policy chooses backend servers; "balanced" for production, the others
-	// for comparison: "random", "round-robin".
+	// Policy is how backend servers are chosen: "balanced" for production,
+	// "random" or "round-robin" for comparison.
 	Policy string `toml:"policy"`
 }
 
 // Agent are the settings of the agent role.
 type Agent struct {
-	// Service the backend server belongs to.
+	// Service is the service of the backend server.
 	Service string `toml:"service"`
 	// Kind is "model" for a model engine and "plain" for a plain service.
 	Kind inventory.ServiceKind `toml:"kind"`
 	// BackendAddr is the loopback IP:port of the backend server.
 	BackendAddr string `toml:"backend_addr"`
-	// ChecksFencing is true when the engine refuses orders with an old
-	// fencing number.
+	// ChecksFencing is true when the engine refuses orders with an outdated
+	// fencing token.
 	ChecksFencing bool `toml:"checks_fencing"`
 	// Control lists rpc addresses of control servers.
 	Control []string `toml:"control"`
-	// Feeds lists rpc addresses of entries the agent takes its
-	// configuration from; control servers are asked when none answers.
+	// Feeds lists rpc addresses of entries that provide the configuration; the
+	// agent uses control servers when none of them answers.
 	Feeds []string `toml:"feeds"`
-	// ScratchDir is the folder weights are staged in; model agents only.
+	// ScratchDir is the folder that weights are staged in; for model agents only.
 	ScratchDir string `toml:"scratch_dir"`
-	// ScratchMaxBytes bounds the scratch folder; 0 means no bound.
+	// ScratchMaxBytes bounds the size of the scratch folder; 0 means no bound.
 	ScratchMaxBytes int64 `toml:"scratch_max_bytes"`
-	// LinkUpBytesPerSecond bounds the weights sent to other agents; 0 means
-	// no bound.
+	// LinkUpBytesPerSecond bounds the rate of weights sent to other agents; 0
+	// means no bound.
 	LinkUpBytesPerSecond int64 `toml:"link_up_bytes_per_second"`
-	// LinkDownBytesPerSecond bounds the weights received; 0 means no bound.
+	// LinkDownBytesPerSecond bounds the rate of weights received; 0 means no bound.
 	LinkDownBytesPerSecond int64 `toml:"link_down_bytes_per_second"`
-	// Capacity is how many model replicas the VM can hold at once.
+	// Capacity is the maximum number of model replicas on the VM at once.
 	Capacity int `toml:"capacity"`
 	// LoadTimeout is the longest a load order to the engine may take.
 	LoadTimeout time.Duration `toml:"load_timeout"`
-	// Strategy of transfers; "swarm" for production, the others for
-	// comparison: "origin", "zone-tree", "chain".
+	// Strategy is how weights are transferred: "swarm" for production, "origin",
+	// "zone-tree" or "chain" for comparison.
 	Strategy string `toml:"strategy"`
 }
 
-// Has reports whether the daemon takes on the role.
+// Has reports whether the daemon has the role.
 func (s *Settings) Has(role Role) bool { return slices.Contains(s.Roles, string(role)) }
 
-// Load reads and checks the settings file. The error is a
-// tomlfile.Problems that holds every fault, unless the file can't be read.
+// Load reads and validates the settings file. Unless the file can't be read, the
+// error is a tomlfile.Problems with all faults.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -193,7 +192,7 @@
 	return Parse(path, data)
 }
 
-// Parse checks settings held in memory; file names them in problems.
+// Parse decodes and validates settings; file is their name in problems.
 func Parse(file string, data []byte) (*Settings, error) {
 	doc := tomlfile.Parse(file, data)
 	if err := doc.Err(); err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestExamplesPassTheCheck(t *testing.T) {
+func TestExampleSettingsAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*.toml")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// keyHashBytes is the length of the digests of operators' keys.
+	// keyHashBytes is the length of the digest of an operator's key.
 	keyHashBytes = sha256.Size
-	// minElectionRatio of election to heartbeat ticks keeps one lost
-	// heartbeat from starting an election.
+	// minElectionRatio is the lowest ratio of election to heartbeat ticks: one
+	// lost heartbeat must not start an election.
 	minElectionRatio = 3
 )
 
@@ -28,7 +28,7 @@
 	policies   = []string{"balanced", "random", "round-robin"}
 )
 
-// checker reports faults of one settings file.
+// checker reports the faults of one settings file to its document.
 type checker struct {
 	doc *tomlfile.Document
 }
@@ -148,7 +148,7 @@
 	c.oneOf("agent.strategy", agent.Strategy, strategies)
 }
 
-// modelOnly reports keys that mean nothing beside a plain service.
+// modelOnly reports keys that don't apply to agents of plain services.
 func (c checker) modelOnly() {
 	for _, name := range []string{
 		"scratch_dir", "scratch_max_bytes", "checks_fencing", "link_up_bytes_per_second",
@@ -179,7 +179,7 @@
 	c.section(s.Has(RoleAgent), s.Agent != nil, RoleAgent)
 }
 
-// section checks that a role and its table come together.
+// section checks that a role has a table and a table has its role.
 func (c checker) section(hasRole, hasTable bool, role Role) {
 	if hasRole && !hasTable {
 		c.doc.Report(string(role), "is missing; role %q needs a [%s] table", role, role)
