--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -68,9 +68,9 @@
 // endedBeforeStart is the outcome of a request whose context ended before its start.
 func endedBeforeStart(err error) outcome.Outcome {
 	if errors.Is(err, context.DeadlineExceeded) {
-		return outcome.Not(outcome.DeadlineExceeded, "the deadline passed before the request was started", 0)
+		return outcome.NewNotRun(outcome.DeadlineExceeded, "the deadline passed before the request was started", 0)
 	}
-	return outcome.Not(outcome.Cancelled, "the caller left before the request was started", 0)
+	return outcome.NewNotRun(outcome.Cancelled, "the caller left before the request was started", 0)
 }
 
 func (c *Controller) arrive(r Request) (uint64, <-chan Action) {
@@ -94,7 +94,7 @@
 	if action.Start {
 		return &Ticket{controller: c, id: id}, outcome.Outcome{}
 	}
-	return nil, outcome.Not(action.Reason, "", action.RetryAfter)
+	return nil, outcome.NewNotRun(action.Reason, "", action.RetryAfter)
 }
 
 // abandon cancels a request whose context ended. If the request was started
--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -54,12 +54,12 @@
 
 func (a *Agent) notRun(w *sender, reason outcome.Reason, retryAfter time.Duration) error {
 	a.metrics.requests.WithLabelValues("not_run").Inc()
-	return w.send(w.frames.Fail(outcome.Not(reason, "", retryAfter)))
+	return w.send(w.frames.Fail(outcome.NewNotRun(reason, "", retryAfter)))
 }
 
 func (a *Agent) unknown(w *sender, reason outcome.Reason) error {
 	a.metrics.requests.WithLabelValues("unknown").Inc()
-	return w.send(w.frames.Fail(outcome.May(reason, "")))
+	return w.send(w.frames.Fail(outcome.NewUnknown(reason, "")))
 }
 
 // sender numbers the frames of one answer and sends them.
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -97,11 +97,11 @@
 func notPicked(reason routing.Reason) outcome.Outcome {
 	switch reason {
 	case routing.ReasonFull, routing.ReasonAllAside, routing.ReasonAllExcluded:
-		return outcome.Not(outcome.Overloaded, string(reason), overloadedRetryAfter)
+		return outcome.NewNotRun(outcome.Overloaded, string(reason), overloadedRetryAfter)
 	case routing.ReasonAllLeaving:
-		return outcome.Not(outcome.Leaving, string(reason), noBackendRetryAfter)
+		return outcome.NewNotRun(outcome.Leaving, string(reason), noBackendRetryAfter)
 	}
-	return outcome.Not(outcome.NoBackend, string(reason), noBackendRetryAfter)
+	return outcome.NewNotRun(outcome.NoBackend, string(reason), noBackendRetryAfter)
 }
 
 // event returns the event that reports the attempt's result to the routing
@@ -170,7 +170,7 @@
 		}
 		result := assembler.Step(frame)
 		if err := t.pass(ctx, result); err != nil {
-			return outcome.May(outcome.Cancelled, err.Error())
+			return outcome.NewUnknown(outcome.Cancelled, err.Error())
 		}
 		if result.Done {
 			return result.Outcome
@@ -233,13 +233,13 @@
 	var dial *rpcconn.DialError
 	switch {
 	case errors.As(err, &dial):
-		return outcome.Not(outcome.BackendFailed, "the agent does not accept connections", 0)
+		return outcome.NewNotRun(outcome.BackendFailed, "the agent does not accept connections", 0)
 	case errors.Is(context.Cause(ctx), errSilent):
-		return outcome.May(outcome.ConnectionLost, errSilent.Error())
+		return outcome.NewUnknown(outcome.ConnectionLost, errSilent.Error())
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return outcome.May(outcome.DeadlineExceeded, "the deadline has passed")
+		return outcome.NewUnknown(outcome.DeadlineExceeded, "the deadline has passed")
 	case ctx.Err() != nil:
-		return outcome.May(outcome.Cancelled, "the caller is gone")
+		return outcome.NewUnknown(outcome.Cancelled, "the caller is gone")
 	}
-	return outcome.May(outcome.ConnectionLost, "the connection to the agent was lost")
+	return outcome.NewUnknown(outcome.ConnectionLost, "the connection to the agent was lost")
 }
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -85,7 +85,7 @@
 func (e *refusal) Error() string { return e.outcome.String() }
 
 func refuse(reason outcome.Reason, format string, args ...any) error {
-	return &refusal{outcome.Not(reason, fmt.Sprintf(format, args...), 0)}
+	return &refusal{outcome.NewNotRun(reason, fmt.Sprintf(format, args...), 0)}
 }
 
 // resolve validates a request against the configuration in force.
@@ -233,7 +233,7 @@
 		return refuse(outcome.InvalidRequest, "header %s: over %d bytes", HeaderIdempotencyKey, maxNameBytes)
 	}
 	if c.rule.AtMostOnce && c.key == "" {
-		return refuse(outcome.MissingKey,
+		return refuse(outcome.MissingIdempotencyKey,
 			"header %s: needed, since calls below %s%s run at most once", HeaderIdempotencyKey, servicesPrefix+c.service.Name, c.rule.Prefix)
 	}
 	return nil
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -72,7 +72,7 @@
 	if errors.Is(err, controlclient.ErrResultUnknown) {
 		detail += "; the key may stay reserved for a while"
 	}
-	return outcome.Not(outcome.NoQuorum, detail, noQuorumRetryAfter)
+	return outcome.NewNotRun(outcome.NoQuorum, detail, noQuorumRetryAfter)
 }
 
 // answerRepeat answers a call whose key had already been claimed.
@@ -80,23 +80,23 @@
 	after := time.Duration(resp.RetryAfterMs) * time.Millisecond
 	switch resp.Verdict {
 	case rpc.ClaimVerdict_CLAIM_IN_PROGRESS:
-		o := outcome.May(outcome.KeyInProgress, "a request with this key is in progress")
+		o := outcome.NewUnknown(outcome.IdempotencyKeyInProgress, "a request with this key is in progress")
 		o.RetryAfter = after
 		return o
 	case rpc.ClaimVerdict_CLAIM_COMPLETED:
 		return replay(resp.Answer, a)
 	case rpc.ClaimVerdict_CLAIM_BODY_MISMATCH:
-		return outcome.Not(outcome.KeyReused, "the key was used with another request", 0)
+		return outcome.NewNotRun(outcome.IdempotencyKeyReused, "the key was used with another request", 0)
 	case rpc.ClaimVerdict_CLAIM_FULL:
-		return outcome.Not(outcome.ClaimsFull, "no room to record another key", after)
+		return outcome.NewNotRun(outcome.ClaimsFull, "no room to record another key", after)
 	}
-	return outcome.May(outcome.ClaimUnknown, "a request with this key may have run; it will not be run again")
+	return outcome.NewUnknown(outcome.ClaimUnknown, "a request with this key may have run; it will not be run again")
 }
 
 // replay answers with the stored answer of the first request.
 func replay(stored *rpc.StoredAnswer, a *answer) outcome.Outcome {
 	if stored == nil || stored.Status == 0 {
-		return outcome.May(outcome.AnswerNotStored, "the request with this key has completed; its answer was too large to keep")
+		return outcome.NewUnknown(outcome.AnswerNotStored, "the request with this key has completed; its answer was too large to keep")
 	}
 	a.setHead(stored.Status, []*rpc.Header{
 		{Name: "Content-Type", Value: stored.ContentType},
@@ -105,7 +105,7 @@
 	a.bufferEvents = true
 	_ = a.write(stored.Body)
 	_ = a.complete()
-	return outcome.Done()
+	return outcome.NewCompleted()
 }
 
 // settle records the outcome of a claimed call. If that fails, the claim becomes
--- a/internal/entry/claim_test.go
+++ b/internal/entry/claim_test.go
@@ -42,10 +42,10 @@
 		reason  outcome.Reason
 		kind    string
 	}{
-		{rpc.ClaimVerdict_CLAIM_IN_PROGRESS, 409, outcome.KeyInProgress, "unknown"},
+		{rpc.ClaimVerdict_CLAIM_IN_PROGRESS, 409, outcome.IdempotencyKeyInProgress, "unknown"},
 		{rpc.ClaimVerdict_CLAIM_UNKNOWN, 409, outcome.ClaimUnknown, "unknown"},
 		{rpc.ClaimVerdict_CLAIM_COMPLETED, 502, outcome.AnswerNotStored, "unknown"},
-		{rpc.ClaimVerdict_CLAIM_BODY_MISMATCH, 422, outcome.KeyReused, "not_run"},
+		{rpc.ClaimVerdict_CLAIM_BODY_MISMATCH, 422, outcome.IdempotencyKeyReused, "not_run"},
 		{rpc.ClaimVerdict_CLAIM_FULL, 503, outcome.ClaimsFull, "not_run"},
 	}
 	for _, c := range cases {
@@ -88,8 +88,8 @@
 		attempts int
 	}{
 		"completed":     {plainAnswer("ran"), rpc.SettleOutcome_SETTLE_COMPLETED, 200, 1},
-		"not run":       {fails(outcome.Not(outcome.Leaving, "", 0)), rpc.SettleOutcome_SETTLE_NOT_RUN, 503, 2},
-		"may have run":  {fails(outcome.May(outcome.AnswerCut, "")), rpc.SettleOutcome_SETTLE_UNKNOWN, 502, 1},
+		"not run":       {fails(outcome.NewNotRun(outcome.Leaving, "", 0)), rpc.SettleOutcome_SETTLE_NOT_RUN, 503, 2},
+		"may have run":  {fails(outcome.NewUnknown(outcome.AnswerCut, "")), rpc.SettleOutcome_SETTLE_UNKNOWN, 502, 1},
 		"cut off":       {cutOff, rpc.SettleOutcome_SETTLE_UNKNOWN, 502, 1},
 		"not run, late": {notRunAfterHead, rpc.SettleOutcome_SETTLE_UNKNOWN, 502, 1},
 	}
@@ -159,7 +159,7 @@
 		require.Equal(t, "not_run", got.kind)
 	})
 	t.Run("leaving", func(t *testing.T) {
-		leaving := &fakeAgent{run: fails(outcome.Not(outcome.Leaving, "", 0))}
+		leaving := &fakeAgent{run: fails(outcome.NewNotRun(outcome.Leaving, "", 0))}
 		staying := &fakeAgent{run: plainAnswer("ran")}
 		b := newTestbed(t, Config{RetryBudgetRatio: 0.001}, leaving, staying)
 		for range 20 {
--- a/internal/entry/flow.go
+++ b/internal/entry/flow.go
@@ -15,7 +15,7 @@
 // serve answers one request of a caller.
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request) {
 	if e.catalog.Load().revision == 0 {
-		o := outcome.Not(outcome.NoConfiguration, "this entry has no configuration yet", noBackendRetryAfter)
+		o := outcome.NewNotRun(outcome.NoConfiguration, "this entry has no configuration yet", noBackendRetryAfter)
 		e.answerRefusal(w, &refusal{o})
 		return
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -60,7 +60,7 @@
 		reason, detail = outcome.InvalidRequest, fmt.Sprintf("method %s: not allowed here", c.Request().Method)
 	}
 	if !c.Response().Committed {
-		_ = outcome.Not(reason, detail, 0).Write(c.Response())
+		_ = outcome.NewNotRun(reason, detail, 0).Write(c.Response())
 	}
 }
 
@@ -68,7 +68,7 @@
 func (e *Entry) limitHeader(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if size := httplimit.HeaderBytes(c.Request()); size > e.cfg.MaxHeaderBytes {
-			o := outcome.Not(outcome.HeaderTooLarge, fmt.Sprintf("the header has %d bytes, the limit is %d", size, e.cfg.MaxHeaderBytes), 0)
+			o := outcome.NewNotRun(outcome.HeaderTooLarge, fmt.Sprintf("the header has %d bytes, the limit is %d", size, e.cfg.MaxHeaderBytes), 0)
 			return o.Write(c.Response())
 		}
 		return next(c)
--- a/internal/frames/assembler.go
+++ b/internal/frames/assembler.go
@@ -100,7 +100,7 @@
 // has ended before. The request may have run.
 func (a *Assembler) Cut(reason outcome.Reason, detail string) Result {
 	if !a.done {
-		a.finish(outcome.May(reason, detail))
+		a.finish(outcome.NewUnknown(reason, detail))
 	}
 	return Result{Done: true, Outcome: a.outcome}
 }
@@ -218,7 +218,7 @@
 	if !bytes.Equal(f.Digest, a.hasher.Sum(nil)) {
 		return corrupt("digest does not match the end mark")
 	}
-	return outcome.Done()
+	return outcome.NewCompleted()
 }
 
 // checkNotRun believes "not run" only as the one frame of the whole answer.
@@ -247,5 +247,5 @@
 }
 
 func corrupt(format string, args ...any) outcome.Outcome {
-	return outcome.May(outcome.AnswerCorrupt, fmt.Sprintf(format, args...))
+	return outcome.NewUnknown(outcome.AnswerCorrupt, fmt.Sprintf(format, args...))
 }
--- a/internal/frames/frames_test.go
+++ b/internal/frames/frames_test.go
@@ -58,7 +58,7 @@
 func TestAssembler(t *testing.T) {
 	f, whole := answer("r", "ab", "c", "def")
 	other, _ := answer("q", "ab", "c", "def")
-	notRun := NewWriter("r").Fail(outcome.Not(outcome.Leaving, "", 2*time.Second))
+	notRun := NewWriter("r").Fail(outcome.NewNotRun(outcome.Leaving, "", 2*time.Second))
 	failAfterHead := func(o outcome.Outcome) *rpc.ResponseFrame {
 		w := NewWriter("r")
 		w.Head(200, nil)
@@ -93,8 +93,8 @@
 		{"not run", list{notRun}, outcome.NotRun, outcome.Leaving, Counts{}},
 		{"not run after head", list{f[0], change(notRun, func(c *rpc.ResponseFrame) { c.Seq = 1 })}, outcome.Unknown, outcome.AnswerCorrupt, Counts{}},
 		{"not run beside held data", list{f[1], notRun}, outcome.Unknown, outcome.AnswerCorrupt, Counts{Reordered: 1}},
-		{"writer turns late not run into unknown", list{f[0], failAfterHead(outcome.Not(outcome.Leaving, "", 0))}, outcome.Unknown, outcome.Leaving, Counts{}},
-		{"unknown", list{f[0], failAfterHead(outcome.May(outcome.BackendFailed, ""))}, outcome.Unknown, outcome.BackendFailed, Counts{}},
+		{"writer turns late not run into unknown", list{f[0], failAfterHead(outcome.NewNotRun(outcome.Leaving, "", 0))}, outcome.Unknown, outcome.Leaving, Counts{}},
+		{"unknown", list{f[0], failAfterHead(outcome.NewUnknown(outcome.BackendFailed, ""))}, outcome.Unknown, outcome.BackendFailed, Counts{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -132,7 +132,7 @@
 		"end first":   func(w *Writer) { w.End() },
 		"second head": func(w *Writer) { w.Head(200, nil); w.Head(200, nil) },
 		"after end":   func(w *Writer) { w.Head(200, nil); w.End(); w.Data(nil) },
-		"completed":   func(w *Writer) { w.Fail(outcome.Done()) },
+		"completed":   func(w *Writer) { w.Fail(outcome.NewCompleted()) },
 	} {
 		require.Panics(t, func() { use(NewWriter("r")) }, name)
 	}
@@ -201,7 +201,7 @@
 	f.Add(encode(whole))
 	f.Add(encode([]*rpc.ResponseFrame{whole[3], whole[2], whole[2], other[0], whole[1], whole[0]}))
 	f.Add(encode(whole[:3]))
-	f.Add(encode([]*rpc.ResponseFrame{NewWriter("r").Fail(outcome.Not(outcome.Leaving, "", time.Second))}))
+	f.Add(encode([]*rpc.ResponseFrame{NewWriter("r").Fail(outcome.NewNotRun(outcome.Leaving, "", time.Second))}))
 	f.Add(encode([]*rpc.ResponseFrame{whole[0], {RequestId: "r", Seq: 1 << 63, Kind: 77}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var in []*rpc.ResponseFrame
--- a/internal/outcome/http.go
+++ b/internal/outcome/http.go
@@ -23,27 +23,27 @@
 // notRunStatus maps reasons to HTTP statuses for requests that certainly did
 // not run. The default is 503.
 var notRunStatus = map[Reason]int{
-	InvalidRequest:     http.StatusBadRequest,
-	MissingKey:         http.StatusBadRequest,
-	Unauthorized:       http.StatusUnauthorized,
-	NotFound:           http.StatusNotFound,
-	BodyTooLarge:       http.StatusRequestEntityTooLarge,
-	HeaderTooLarge:     http.StatusRequestHeaderFieldsTooLarge,
-	KeyReused:          http.StatusUnprocessableEntity,
-	KeyInProgress:      http.StatusConflict,
-	RateLimited:        http.StatusTooManyRequests,
-	ConcurrencyLimited: http.StatusTooManyRequests,
-	TokensLimited:      http.StatusTooManyRequests,
-	DeadlineExceeded:   http.StatusGatewayTimeout,
-	BackendRefused:     http.StatusBadGateway,
+	InvalidRequest:           http.StatusBadRequest,
+	MissingIdempotencyKey:    http.StatusBadRequest,
+	Unauthorized:             http.StatusUnauthorized,
+	NotFound:                 http.StatusNotFound,
+	BodyTooLarge:             http.StatusRequestEntityTooLarge,
+	HeaderTooLarge:           http.StatusRequestHeaderFieldsTooLarge,
+	IdempotencyKeyReused:     http.StatusUnprocessableEntity,
+	IdempotencyKeyInProgress: http.StatusConflict,
+	RateLimited:              http.StatusTooManyRequests,
+	ConcurrencyLimited:       http.StatusTooManyRequests,
+	TokensLimited:            http.StatusTooManyRequests,
+	DeadlineExceeded:         http.StatusGatewayTimeout,
+	BackendRefused:           http.StatusBadGateway,
 }
 
 // unknownStatus maps reasons to HTTP statuses for requests that may have run.
 // The default is 502.
 var unknownStatus = map[Reason]int{
-	KeyInProgress:    http.StatusConflict,
-	ClaimUnknown:     http.StatusConflict,
-	DeadlineExceeded: http.StatusGatewayTimeout,
+	IdempotencyKeyInProgress: http.StatusConflict,
+	ClaimUnknown:             http.StatusConflict,
+	DeadlineExceeded:         http.StatusGatewayTimeout,
 }
 
 // Status returns the HTTP status of an outcome. A request that may have run
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -40,17 +40,17 @@
 // The reasons; they appear as "type" in error bodies and as metric labels.
 const (
 	// Refused before dispatch because of the request or the caller's limits.
-	InvalidRequest     Reason = "invalid_request"
-	Unauthorized       Reason = "unauthorized"
-	NotFound           Reason = "not_found"
-	BodyTooLarge       Reason = "body_too_large"
-	HeaderTooLarge     Reason = "header_too_large"
-	MissingKey         Reason = "missing_idempotency_key"
-	KeyReused          Reason = "idempotency_key_reused"
-	KeyInProgress      Reason = "idempotency_key_in_progress"
-	RateLimited        Reason = "rate_limited"
-	ConcurrencyLimited Reason = "concurrency_limited"
-	TokensLimited      Reason = "token_budget_exhausted"
+	InvalidRequest           Reason = "invalid_request"
+	Unauthorized             Reason = "unauthorized"
+	NotFound                 Reason = "not_found"
+	BodyTooLarge             Reason = "body_too_large"
+	HeaderTooLarge           Reason = "header_too_large"
+	MissingIdempotencyKey    Reason = "missing_idempotency_key"
+	IdempotencyKeyReused     Reason = "idempotency_key_reused"
+	IdempotencyKeyInProgress Reason = "idempotency_key_in_progress"
+	RateLimited              Reason = "rate_limited"
+	ConcurrencyLimited       Reason = "concurrency_limited"
+	TokensLimited            Reason = "token_budget_exhausted"
 	// Refused or given up by the system.
 	Overloaded       Reason = "overloaded"
 	NoBackend        Reason = "no_backend_server"
@@ -82,24 +82,24 @@
 	RetryAfter time.Duration
 }
 
-// Done returns the outcome of a request whose whole answer was received.
-func Done() Outcome { return Outcome{Kind: Completed} }
+// NewCompleted returns the outcome of a request whose whole answer was received.
+func NewCompleted() Outcome { return Outcome{Kind: Completed} }
 
-// Not returns the outcome of a request that certainly did not run.
-func Not(reason Reason, detail string, retryAfter time.Duration) Outcome {
+// NewNotRun returns the outcome of a request that certainly did not run.
+func NewNotRun(reason Reason, detail string, retryAfter time.Duration) Outcome {
 	return Outcome{Kind: NotRun, Reason: reason, Detail: detail, RetryAfter: retryAfter}
 }
 
-// May returns the outcome of a request that may have run.
-func May(reason Reason, detail string) Outcome {
+// NewUnknown returns the outcome of a request that may have run.
+func NewUnknown(reason Reason, detail string) Outcome {
 	return Outcome{Kind: Unknown, Reason: reason, Detail: detail}
 }
 
-// Worse combines the outcomes of two attempts at one request: completed if
+// Combine returns the outcome of two attempts at one request: completed if
 // either is, otherwise unknown if either may have run.
-func Worse(a, b Outcome) Outcome {
+func Combine(a, b Outcome) Outcome {
 	if a.Kind == Completed || b.Kind == Completed {
-		return Done()
+		return NewCompleted()
 	}
 	if a.Kind == Unknown {
 		return a
--- a/internal/retry/attempts.go
+++ b/internal/retry/attempts.go
@@ -93,7 +93,7 @@
 	if a.made == 1 {
 		a.worst = o
 	} else {
-		a.worst = outcome.Worse(a.worst, o)
+		a.worst = outcome.Combine(a.worst, o)
 	}
 	if reason := a.refuseRetry(o, begun); reason != "" {
 		return a.final(reason)
@@ -161,21 +161,21 @@
 
 // finalReasons holds the reasons for which another attempt would not help.
 var finalReasons = map[outcome.Reason]bool{
-	outcome.InvalidRequest:   true,
-	outcome.Unauthorized:     true,
-	outcome.NotFound:         true,
-	outcome.BodyTooLarge:     true,
-	outcome.MissingKey:       true,
-	outcome.KeyReused:        true,
-	outcome.KeyInProgress:    true,
-	outcome.ClaimUnknown:     true,
-	outcome.ClaimsFull:       true,
-	outcome.RateLimited:      true,
-	outcome.TokensLimited:    true,
-	outcome.Cancelled:        true,
-	outcome.DeadlineExceeded: true,
-	outcome.NoBackend:        true,
-	outcome.NoQuorum:         true,
+	outcome.InvalidRequest:           true,
+	outcome.Unauthorized:             true,
+	outcome.NotFound:                 true,
+	outcome.BodyTooLarge:             true,
+	outcome.MissingIdempotencyKey:    true,
+	outcome.IdempotencyKeyReused:     true,
+	outcome.IdempotencyKeyInProgress: true,
+	outcome.ClaimUnknown:             true,
+	outcome.ClaimsFull:               true,
+	outcome.RateLimited:              true,
+	outcome.TokensLimited:            true,
+	outcome.Cancelled:                true,
+	outcome.DeadlineExceeded:         true,
+	outcome.NoBackend:                true,
+	outcome.NoQuorum:                 true,
 }
 
 // jitter returns a number in [0, 1) that depends only on the seed and the
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -14,9 +14,9 @@
 var t0 = time.Unix(1_000_000, 0)
 
 func TestEnded(t *testing.T) {
-	overload := outcome.Not(outcome.Overloaded, "", 0)
-	lost := outcome.May(outcome.ConnectionLost, "")
-	leaving := outcome.Not(outcome.Leaving, "", 0)
+	overload := outcome.NewNotRun(outcome.Overloaded, "", 0)
+	lost := outcome.NewUnknown(outcome.ConnectionLost, "")
+	leaving := outcome.NewNotRun(outcome.Leaving, "", 0)
 	soon := Request{Deadline: t0.Add(60 * time.Millisecond)}
 	late := Request{Deadline: t0.Add(30 * time.Millisecond)}
 	tests := []struct {
@@ -28,14 +28,14 @@
 		reason Reason
 		final  outcome.Outcome
 	}{
-		{"completed", Request{}, []outcome.Outcome{outcome.Done()}, false, 9, ReasonCompleted, outcome.Done()},
+		{"completed", Request{}, []outcome.Outcome{outcome.NewCompleted()}, false, 9, ReasonCompleted, outcome.NewCompleted()},
 		{"not run", Request{}, []outcome.Outcome{overload}, false, 9, ReasonRetry, overload},
 		{"not run, at most once", Request{AtMostOnce: true}, []outcome.Outcome{overload}, false, 9, ReasonRetry, overload},
 		{"may have run", Request{}, []outcome.Outcome{lost}, false, 9, ReasonMayHaveRun, lost},
 		{"may have run, idempotent", Request{Idempotent: true}, []outcome.Outcome{lost}, false, 9, ReasonRetry, lost},
 		{"at most once wins over idempotent", Request{Idempotent: true, AtMostOnce: true}, []outcome.Outcome{lost}, false, 9, ReasonMayHaveRun, lost},
 		{"answer begun", Request{Idempotent: true}, []outcome.Outcome{lost}, true, 9, ReasonAnswerBegun, lost},
-		{"caller left", Request{}, []outcome.Outcome{outcome.Not(outcome.Cancelled, "", 0)}, false, 9, ReasonFinal, outcome.Not(outcome.Cancelled, "", 0)},
+		{"caller left", Request{}, []outcome.Outcome{outcome.NewNotRun(outcome.Cancelled, "", 0)}, false, 9, ReasonFinal, outcome.NewNotRun(outcome.Cancelled, "", 0)},
 		{"attempts used up", Request{}, []outcome.Outcome{overload, overload, overload}, false, 9, ReasonAttempts, overload},
 		{"unknown outcome of one attempt stays unknown", Request{Idempotent: true}, []outcome.Outcome{lost, overload, overload}, false, 9, ReasonAttempts, lost},
 		{"deadline allows a retry", soon, []outcome.Outcome{overload}, false, 9, ReasonRetry, overload},
@@ -149,7 +149,7 @@
 		b.Request(now)
 		a := NewAttempts(DefaultPolicy, Request{Seed: uint64(i)})
 		attempts++
-		for a.Ended(outcome.Not(outcome.Overloaded, "", 0), false, now, b).Retry {
+		for a.Ended(outcome.NewNotRun(outcome.Overloaded, "", 0), false, now, b).Retry {
 			attempts++
 		}
 	}
