--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -101,7 +101,7 @@
 		a.metrics.foreignWeights.Inc()
 		return a.unknown(w, outcome.AnswerCorrupt)
 	}
-	head := w.frames.Head(resp.StatusCode, headers.Passed(resp.Header, withheldHeaders))
+	head := w.frames.Head(resp.StatusCode, headers.EndToEnd(resp.Header, withheldHeaders))
 	if err := w.send(head); err != nil {
 		return err
 	}
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -112,7 +112,7 @@
 	if err := c.readDeadline(r, min(e.cfg.DefaultDeadline, c.maxDeadline())); err != nil {
 		return nil, err
 	}
-	c.headers = headers.Passed(r.Header, withheldHeaders)
+	c.headers = headers.EndToEnd(r.Header, withheldHeaders)
 	return c, nil
 }
 
--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -17,9 +17,9 @@
 	"Content-Length": true,
 }
 
-// Passed returns the fields to forward: all but the hop-by-hop fields and those
+// EndToEnd returns the fields to forward: all but the hop-by-hop fields and those
 // in withheld, which has canonical names. The order of the fields is not fixed.
-func Passed(h http.Header, withheld map[string]bool) []*rpc.Header {
+func EndToEnd(h http.Header, withheld map[string]bool) []*rpc.Header {
 	var out []*rpc.Header
 	for name, values := range h {
 		if hopByHop[name] || withheld[name] {
--- a/internal/headers/headers_test.go
+++ b/internal/headers/headers_test.go
@@ -19,9 +19,9 @@
 	h.Add("X-Twice", "a")
 	h.Add("X-Twice", "b")
 	var passed []string
-	for _, field := range Passed(h, map[string]bool{"X-Own": true}) {
+	for _, field := range EndToEnd(h, map[string]bool{"X-Own": true}) {
 		passed = append(passed, field.Name+": "+field.Value)
 	}
 	assert.ElementsMatch(t, []string{"Content-Type: text/plain", "X-Twice: a", "X-Twice: b"}, passed)
-	assert.Empty(t, Passed(nil, nil))
+	assert.Empty(t, EndToEnd(nil, nil))
 }
