--- a/internal/entry/flow.go
+++ b/internal/entry/flow.go
@@ -106,11 +106,11 @@
 	})
 	var excluded []string
 	for {
-		t := e.newAttempt(c, a, attempts.Made())
+		t := e.newAttempt(c, a, attempts.Count())
 		o := t.start(ctx, excluded)
 		excluded = append(excluded, t.target.VM)
 		begun := a.sent && !a.resumable()
-		decision := attempts.Ended(o, begun, time.Now(), budget)
+		decision := attempts.Record(o, begun, time.Now(), budget)
 		if !decision.Retry || ctx.Err() != nil {
 			return decision.Final
 		}
--- a/internal/retry/attempts.go
+++ b/internal/retry/attempts.go
@@ -81,14 +81,14 @@
 	return &Attempts{policy: policy, req: req}
 }
 
-// Made returns the number of attempts that have ended.
-func (a *Attempts) Made() int { return a.made }
+// Count returns the number of attempts that have ended.
+func (a *Attempts) Count() int { return a.made }
 
-// Ended records the outcome of an attempt and decides whether to retry. begun
+// Record adds the outcome of an attempt and decides whether to retry. begun
 // means that the caller has already been sent part of the answer and that the
 // answer cannot be resumed. If Retry is true, the retry has already been
 // charged to the budget, unless its reason is exempt.
-func (a *Attempts) Ended(o outcome.Outcome, begun bool, now time.Time, budget *Budget) Decision {
+func (a *Attempts) Record(o outcome.Outcome, begun bool, now time.Time, budget *Budget) Decision {
 	a.made++
 	if a.made == 1 {
 		a.worst = o
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -53,8 +53,8 @@
 			a := NewAttempts(policy, tt.req)
 			var d Decision
 			for i, o := range tt.outs {
-				d = a.Ended(o, tt.begun, t0, budget)
-				require.Equal(t, i+1, a.Made())
+				d = a.Record(o, tt.begun, t0, budget)
+				require.Equal(t, i+1, a.Count())
 				require.Equal(t, d.Reason == ReasonRetry, d.Retry)
 			}
 			require.Equal(t, tt.reason, d.Reason)
@@ -149,7 +149,7 @@
 		b.Request(now)
 		a := NewAttempts(DefaultPolicy, Request{Seed: uint64(i)})
 		attempts++
-		for a.Ended(outcome.NewNotRun(outcome.Overloaded, "", 0), false, now, b).Retry {
+		for a.Record(outcome.NewNotRun(outcome.Overloaded, "", 0), false, now, b).Retry {
 			attempts++
 		}
 	}
