--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -140,7 +140,7 @@
 	if t := b.view.Table; t != nil {
 		if declared := t.Service(service); declared != nil {
 			s.engine = declared.Engine
-			s.Pool.SetMax(max(minConns, int(connShare*float64(declared.MaxConns))/b.view.EntryCount()))
+			s.Pool.SetMaxOpen(max(minConns, int(connShare*float64(declared.MaxConns))/b.view.EntryCount()))
 		}
 	}
 	if record.State != fleet.StateReady || s.retired || !s.signals.leavingAt.IsZero() {
@@ -342,7 +342,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.servers {
-		n += s.Pool.Dialled.Load()
+		n += s.Pool.Dials.Load()
 	}
 	return n
 }
--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -52,9 +52,9 @@
 	// ErrNoConnection means that the limit on open connections to the server is
 	// reached. It wraps ErrNotSent.
 	ErrNoConnection = fmt.Errorf("%w: no free connection", ErrNotSent)
-	// ErrLost means that the connection failed after at least part of the request
+	// ErrConnectionLost means that the connection failed after at least part of the request
 	// was sent and before an answer was received: the request may have run.
-	ErrLost = errors.New("connection failed without an answer")
+	ErrConnectionLost = errors.New("connection failed without an answer")
 	// ErrInvalidAnswer means that the bytes received are not an answer to this request.
 	ErrInvalidAnswer = errors.New("not an answer to the request")
 )
@@ -141,11 +141,11 @@
 func (c *conn) roundTrip(r *Request, headBy time.Time) (*http.Response, error) {
 	_ = c.SetDeadline(clock.Deadline(headBy))
 	if _, err := c.Write(r.Bytes); err != nil {
-		return nil, fmt.Errorf("%w: write: %w", ErrLost, err)
+		return nil, fmt.Errorf("%w: write: %w", ErrConnectionLost, err)
 	}
 	for unmatched := 0; unmatched <= maxUnmatched; unmatched++ {
 		if _, err := c.br.Peek(1); err != nil {
-			return nil, fmt.Errorf("%w: read: %w", ErrLost, err)
+			return nil, fmt.Errorf("%w: read: %w", ErrConnectionLost, err)
 		}
 		resp, err := http.ReadResponse(c.br, &http.Request{Method: r.Method})
 		if err != nil {
@@ -192,8 +192,8 @@
 // Reused reports whether the connection had already carried other requests.
 func (a *Answer) Reused() bool { return a.conn.reused }
 
-// ReadBy sets the deadline of further reads of the body, a time of package clock.
-func (a *Answer) ReadBy(t time.Time) { _ = a.conn.SetReadDeadline(clock.Deadline(t)) }
+// SetReadDeadline sets the deadline of further reads of the body, a time of package clock.
+func (a *Answer) SetReadDeadline(t time.Time) { _ = a.conn.SetReadDeadline(clock.Deadline(t)) }
 
 // Buffered returns the number of bytes that can be read without waiting.
 func (a *Answer) Buffered() int { return a.conn.br.Buffered() }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -75,7 +75,7 @@
 		require.NoError(t, err)
 		assert.Equal(t, id+id+id+id, body)
 	}
-	assert.EqualValues(t, 1, p.Dialled.Load())
+	assert.EqualValues(t, 1, p.Dials.Load())
 }
 
 func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
@@ -95,7 +95,7 @@
 	time.Sleep(20 * time.Millisecond)
 	_, _, err = send(p, "b")
 	// The second request is sent on a new connection, where the script starts over.
-	assert.EqualValues(t, 2, p.Dialled.Load())
+	assert.EqualValues(t, 2, p.Dials.Load())
 	assert.Error(t, err, "the answer there is to another request")
 }
 
@@ -106,7 +106,7 @@
 		require.NoError(t, err)
 		time.Sleep(20 * time.Millisecond)
 	}
-	assert.EqualValues(t, 2, p.Dialled.Load())
+	assert.EqualValues(t, 2, p.Dials.Load())
 }
 
 func TestTruncatedAnswerIsAnError(t *testing.T) {
@@ -136,14 +136,14 @@
 	assert.ErrorIs(t, err, ErrNotSent)
 
 	_, _, err = send(NewPool(script(t, true, "")), "a")
-	assert.ErrorIs(t, err, ErrLost)
+	assert.ErrorIs(t, err, ErrConnectionLost)
 	assert.False(t, errors.Is(err, ErrNotSent))
 
 	_, _, err = send(NewPool(script(t, true, "this is not HTTP\r\n\r\n")), "a")
 	assert.ErrorIs(t, err, ErrInvalidAnswer)
 
 	p := NewPool(script(t, false, okAnswer("a", "aaaa")))
-	p.SetMax(1)
+	p.SetMaxOpen(1)
 	p.open.Store(1)
 	_, _, err = send(p, "a")
 	assert.ErrorIs(t, err, ErrNotSent)
@@ -187,7 +187,7 @@
 	last.Conn = silentConn{last.Conn.(*net.TCPConn)}
 	last.br.Reset(last.Conn)
 	_, _, err = send(p, "b")
-	assert.ErrorIs(t, err, ErrLost)
+	assert.ErrorIs(t, err, ErrConnectionLost)
 	assert.Empty(t, p.idle)
 	assert.Zero(t, p.open.Load())
 	_, _, err = send(p, "a")
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -19,8 +19,8 @@
 	// max is how many connections may be open; 0 means no limit.
 	max  atomic.Int64
 	open atomic.Int64
-	// Dialled counts the connections established.
-	Dialled atomic.Int64
+	// Dials counts the connections established.
+	Dials atomic.Int64
 
 	mu     sync.Mutex
 	idle   []*conn
@@ -30,8 +30,8 @@
 // NewPool returns an empty pool for a server at addr ("ip:port").
 func NewPool(addr string) *Pool { return &Pool{addr: addr} }
 
-// SetMax limits the number of open connections.
-func (p *Pool) SetMax(n int) { p.max.Store(int64(n)) }
+// SetMaxOpen limits the number of open connections.
+func (p *Pool) SetMaxOpen(n int) { p.max.Store(int64(n)) }
 
 // CloseIdle closes the idle connections. It is called when a connection to the server
 // has become unresponsive: others that were open at the same time may be so, too.
@@ -76,7 +76,7 @@
 		p.open.Add(-1)
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	p.Dialled.Add(1)
+	p.Dials.Add(1)
 	// If the system lacks the option, the deadline of each attempt still applies.
 	_ = unacked.Bound(nc, unackedTimeout)
 	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), idleLimit: maxIdle}, nil
@@ -89,7 +89,7 @@
 	if err != nil {
 		return fmt.Errorf("probe %s: %w", p.addr, err)
 	}
-	p.Dialled.Add(1)
+	p.Dials.Add(1)
 	return nc.Close()
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -254,6 +254,6 @@
 const maxWholeAnswer = 64 << 20
 
 func readWhole(a *dispatch.Answer, deadline time.Time) ([]byte, error) {
-	a.ReadBy(deadline)
+	a.SetReadDeadline(deadline)
 	return io.ReadAll(io.LimitReader(a, maxWholeAnswer))
 }
--- a/internal/gateway/free_connection_test.go
+++ b/internal/gateway/free_connection_test.go
@@ -29,7 +29,7 @@
 	e.balancer.Done(&breaks, time.Now(), balance.EndedElse)
 	e.balancer.Done(&choice, time.Now(), balance.EndedElse)
 	require.Equal(t, "b-takes", choice.Server.ID)
-	choice.Server.Pool.SetMax(1)
+	choice.Server.Pool.SetMaxOpen(1)
 	go func() {
 		request := &dispatch.Request{Method: http.MethodGet, Bytes: []byte("GET /hold HTTP/1.1\r\nHost: h\r\nX-Id: hold\r\n\r\n"), IDHeader: headers.RequestID, ID: "hold"}
 		answer, err := choice.Server.Pool.Send(t.Context(), request, time.Now().Add(time.Second))
--- a/internal/gateway/handover_attempt.go
+++ b/internal/gateway/handover_attempt.go
@@ -75,7 +75,7 @@
 		return nil, balance.EndedFailed, errors.New("no signed answer: " + strconv.Itoa(a.StatusCode))
 	}
 	h.began = true
-	a.ReadBy(c.deadline)
+	a.SetReadDeadline(c.deadline)
 	if c.route.Kind != fleet.KindStream {
 		body, err := readWhole(a, c.deadline)
 		return body, balance.EndedFailed, err
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -95,7 +95,7 @@
 // forwardEvents forwards whole events until the end of the answer. An answer that ends within an event
 // is an error.
 func (c *call) forwardEvents(watch *watchdog, a *dispatch.Answer, read []byte) error {
-	a.ReadBy(c.deadline)
+	a.SetReadDeadline(c.deadline)
 	buf, err := c.forwardWholeEvents(watch, a, append(make([]byte, 0, max(streamBuffer, 2*len(read))), read...))
 	if err != nil {
 		return err
