--- a/internal/fleetcontrol/follower.go
+++ b/internal/fleetcontrol/follower.go
@@ -29,7 +29,7 @@
 	// reports holds the addresses whose report is to be sent.
 	reports map[string]bool
 	// suspicions are to be sent.
-	suspicions []quarantine.News
+	suspicions []quarantine.Update
 	// signals of backend servers are to be sent.
 	signals []backpressure.News
 	// turns are answers to be sent.
--- a/internal/fleetcontrol/heldapi.go
+++ b/internal/fleetcontrol/heldapi.go
@@ -61,7 +61,7 @@
 	err := s.submit(ctx, &rpc.FleetCommand{Lifted: d[:]})
 	if err == nil {
 		now := clock.Now()
-		s.hub.mergeSuspicions([]quarantine.News{{Digest: d, Cleared: true, At: now}})
+		s.hub.mergeSuspicions([]quarantine.Update{{Digest: d, Cleared: true, At: now}})
 	}
 	s.cfg.Logger.Warn().Stringer("content", d).Str("by", by).Bool("accepted", err == nil).AnErr("error", err).Msg("release of quarantined content decided")
 	return err
--- a/internal/fleetcontrol/suspects.go
+++ b/internal/fleetcontrol/suspects.go
@@ -26,16 +26,16 @@
 )
 
 // mergeSuspicions merges suspicions and marks the new ones for followers.
-func (h *hub) mergeSuspicions(news []quarantine.News) {
+func (h *hub) mergeSuspicions(updates []quarantine.Update) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.mergeSuspicionsLocked(clock.Now(), news)
+	h.mergeSuspicionsLocked(clock.Now(), updates)
 }
 
 // mergeSuspicionsLocked is mergeSuspicions for callers that hold the lock.
-func (h *hub) mergeSuspicionsLocked(now time.Time, news []quarantine.News) {
-	var fresh []quarantine.News
-	for _, n := range news {
+func (h *hub) mergeSuspicionsLocked(now time.Time, updates []quarantine.Update) {
+	var fresh []quarantine.Update
+	for _, n := range updates {
 		if h.suspects.Merge(now, n) {
 			fresh = append(fresh, n)
 		}
@@ -46,10 +46,10 @@
 }
 
 // forward marks suspicions for all entries and control servers; the caller holds the lock.
-func (h *hub) forward(news []quarantine.News) {
+func (h *hub) forward(updates []quarantine.Update) {
 	for f := range h.followers {
 		if f.role != RoleAgent {
-			f.suspicions = append(f.suspicions, news...)
+			f.suspicions = append(f.suspicions, updates...)
 			f.notify()
 		}
 	}
@@ -62,7 +62,7 @@
 	if h.suspects.Empty() {
 		return
 	}
-	quarantined := h.suspects.Settle(clock.Now())
+	quarantined := h.suspects.Quarantine(clock.Now())
 	for _, n := range quarantined {
 		h.log.Warn().Stringer("content", n.Digest).Strs("ended_servers", h.suspects.Evidence(n.Digest)).Msg("work is held back")
 	}
@@ -85,7 +85,7 @@
 	for _, d := range state.Held {
 		recorded[d] = true
 		if !h.recorded[d] {
-			h.mergeSuspicionsLocked(now, []quarantine.News{{Digest: d, At: now}})
+			h.mergeSuspicionsLocked(now, []quarantine.Update{{Digest: d, At: now}})
 		}
 	}
 	h.recorded = recorded
@@ -101,7 +101,7 @@
 	now := clock.Now()
 	var out [][]byte
 	for _, n := range h.suspects.All() {
-		if n.Server == "" && !h.recorded[n.Digest] && h.suspects.Verdict(now, n.Digest) == quarantine.Held && len(out) < maxRecorded {
+		if n.Server == "" && !h.recorded[n.Digest] && h.suspects.Verdict(now, n.Digest) == quarantine.Quarantined && len(out) < maxRecorded {
 			out = append(out, n.Digest[:])
 		}
 	}
--- a/internal/fleetcontrol/suspects_test.go
+++ b/internal/fleetcontrol/suspects_test.go
@@ -16,10 +16,10 @@
 var crashing = quarantine.DigestOf("org", "POST", "h", "/x", nil)
 
 // crashes returns suspicions against crashing: one crash of each server.
-func crashes(servers ...string) []quarantine.News {
-	var out []quarantine.News
+func crashes(servers ...string) []quarantine.Update {
+	var out []quarantine.Update
 	for i, server := range servers {
-		out = append(out, quarantine.News{Digest: crashing, Server: server, At: clock.Now().Add(time.Duration(i-10) * time.Second)})
+		out = append(out, quarantine.Update{Digest: crashing, Server: server, At: clock.Now().Add(time.Duration(i-10) * time.Second)})
 	}
 	return out
 }
--- a/internal/fleetdaemon/entry.go
+++ b/internal/fleetdaemon/entry.go
@@ -49,8 +49,8 @@
 		Headers:    e.Headers,
 		Balance:    balance.Config{Name: cfg.Name, Zone: cfg.Zone, VersionBound: cfg.VersionBound, Logger: cfg.Logger},
 		RetryShare: e.RetryShare, RetryFloor: e.RetryFloor, RetryWindow: e.RetryWindow,
-		Tell:        func(news []quarantine.News) { client.TellSuspicions(news) },
-		TellSignals: func(news []backpressure.News) { client.TellSignals(news) },
+		Tell:        func(updates []quarantine.Update) { client.TellSuspicions(updates) },
+		TellSignals: func(updates []backpressure.News) { client.TellSignals(updates) },
 		Turns:       turns,
 		Logger:      cfg.Logger, Metrics: gateway.NewMetrics(registry),
 	})
--- a/internal/follow/client.go
+++ b/internal/follow/client.go
@@ -62,7 +62,7 @@
 	Held func() uint64
 	// Suspicions returns all suspicions known to this daemon. They are sent at the start
 	// of each stream, since a control server that has restarted has none. It may be nil.
-	Suspicions func() []quarantine.News
+	Suspicions func() []quarantine.Update
 	// Signals returns all signals of backend servers known to this daemon, for the same
 	// reason. It may be nil.
 	Signals func() []backpressure.News
--- a/internal/follow/signals.go
+++ b/internal/follow/signals.go
@@ -10,9 +10,9 @@
 )
 
 // SignalsToProto returns the wire form of signals; their ages are as of now.
-func SignalsToProto(news []backpressure.News, now time.Time) []*rpc.ServerSignal {
-	out := make([]*rpc.ServerSignal, 0, len(news))
-	for _, n := range news {
+func SignalsToProto(updates []backpressure.News, now time.Time) []*rpc.ServerSignal {
+	out := make([]*rpc.ServerSignal, 0, len(updates))
+	for _, n := range updates {
 		out = append(out, &rpc.ServerSignal{Start: n.Start, Limited: n.Limited, Rate: n.Rate, Leaving: n.Leaving, AgeMs: max(now.Sub(n.At), 0).Milliseconds()})
 	}
 	return out
@@ -31,8 +31,8 @@
 }
 
 // TellSignals sends signals on all open streams.
-func (c *Client) TellSignals(news []backpressure.News) {
-	signals := SignalsToProto(news, clock.Now())
+func (c *Client) TellSignals(updates []backpressure.News) {
+	signals := SignalsToProto(updates, clock.Now())
 	for _, stream := range c.streams() {
 		// The goroutine of a failed stream reconnects and sends all known signals.
 		_ = stream.Send(&rpc.FollowerMessage{Signals: signals})
--- a/internal/follow/suspicions.go
+++ b/internal/follow/suspicions.go
@@ -9,25 +9,25 @@
 )
 
 // SuspicionsToProto returns the wire form of suspicions; their ages are as of now.
-func SuspicionsToProto(news []quarantine.News, now time.Time) []*rpc.Suspicion {
-	out := make([]*rpc.Suspicion, 0, len(news))
-	for _, n := range news {
+func SuspicionsToProto(updates []quarantine.Update, now time.Time) []*rpc.Suspicion {
+	out := make([]*rpc.Suspicion, 0, len(updates))
+	for _, n := range updates {
 		out = append(out, &rpc.Suspicion{
-			Digest: n.Digest[:], Server: n.Server, Cleared: n.Cleared, Alone: n.Alone, AgeMs: max(now.Sub(n.At), 0).Milliseconds(),
+			Digest: n.Digest[:], Server: n.Server, Cleared: n.Cleared, Alone: n.SoleAttempt, AgeMs: max(now.Sub(n.At), 0).Milliseconds(),
 		})
 	}
 	return out
 }
 
 // SuspicionsFromProto is the inverse of SuspicionsToProto; it skips invalid suspicions.
-func SuspicionsFromProto(suspicions []*rpc.Suspicion, now time.Time) []quarantine.News {
-	out := make([]quarantine.News, 0, len(suspicions))
+func SuspicionsFromProto(suspicions []*rpc.Suspicion, now time.Time) []quarantine.Update {
+	out := make([]quarantine.Update, 0, len(suspicions))
 	for _, s := range suspicions {
 		if len(s.Digest) != quarantine.DigestSize || s.AgeMs < 0 {
 			continue
 		}
-		out = append(out, quarantine.News{
-			Digest: quarantine.Digest(s.Digest), Server: s.Server, Cleared: s.Cleared, Alone: s.Alone,
+		out = append(out, quarantine.Update{
+			Digest: quarantine.Digest(s.Digest), Server: s.Server, Cleared: s.Cleared, SoleAttempt: s.Alone,
 			At: now.Add(-time.Duration(s.AgeMs) * time.Millisecond),
 		})
 	}
@@ -35,8 +35,8 @@
 }
 
 // TellSuspicions sends suspicions on all open streams.
-func (c *Client) TellSuspicions(news []quarantine.News) {
-	suspicions := SuspicionsToProto(news, clock.Now())
+func (c *Client) TellSuspicions(updates []quarantine.Update) {
+	suspicions := SuspicionsToProto(updates, clock.Now())
 	for _, stream := range c.streams() {
 		// The goroutine of a failed stream reconnects and sends all known suspicions.
 		_ = stream.Send(&rpc.FollowerMessage{Suspicions: suspicions})
--- a/internal/follow/turns_test.go
+++ b/internal/follow/turns_test.go
@@ -62,7 +62,7 @@
 }
 
 // follower starts a client of this control server and waits for its first update.
-func (f *fakeControl) follower(t *testing.T, known []quarantine.News) *Client {
+func (f *fakeControl) follower(t *testing.T, known []quarantine.Update) *Client {
 	t.Helper()
 	f.messages = make(chan *rpc.FollowerMessage, 100)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -75,7 +75,7 @@
 	updated := make(chan struct{}, 1)
 	c := New(Config{
 		Name: "entry", Role: "entry", Seeds: func() []string { return []string{lis.Addr().String()} },
-		Suspicions: func() []quarantine.News { return known },
+		Suspicions: func() []quarantine.Update { return known },
 		Update: func(string, *rpc.FleetUpdate) {
 			select {
 			case updated <- struct{}{}:
@@ -122,32 +122,32 @@
 // A control server that has restarted has lost all suspicions and gets them from entries.
 func TestKnownSuspicionsAreSentOnConnect(t *testing.T) {
 	f := &fakeControl{}
-	known := []quarantine.News{{Digest: suspectContent, Server: "s-1", At: clock.Now().Add(-3 * time.Second)}}
+	known := []quarantine.Update{{Digest: suspectContent, Server: "s-1", At: clock.Now().Add(-3 * time.Second)}}
 	c := f.follower(t, known)
 	has := func(m *rpc.FollowerMessage) bool { return len(m.Suspicions) > 0 }
 	m := f.next(t, has)
 	assert.Equal(t, "s-1", m.Suspicions[0].Server)
 	assert.InDelta(t, 3000, m.Suspicions[0].AgeMs, 1000)
-	c.TellSuspicions([]quarantine.News{{Digest: suspectContent, Server: "s-2", At: clock.Now()}})
+	c.TellSuspicions([]quarantine.Update{{Digest: suspectContent, Server: "s-2", At: clock.Now()}})
 	assert.Equal(t, "s-2", f.next(t, has).Suspicions[0].Server)
 }
 
 func TestInvalidSuspicionsAreSkipped(t *testing.T) {
 	now := time.Now()
-	news := SuspicionsFromProto([]*rpc.Suspicion{
+	updates := SuspicionsFromProto([]*rpc.Suspicion{
 		{Digest: []byte("short"), Server: "s-1"}, {Digest: suspectContent[:], Server: "s-2", AgeMs: -5},
 		{Digest: suspectContent[:], Server: "s-3", Cleared: true, AgeMs: 500},
 	}, now)
-	assert.Equal(t, []quarantine.News{{Digest: suspectContent, Server: "s-3", Cleared: true, At: now.Add(-500 * time.Millisecond)}}, news)
+	assert.Equal(t, []quarantine.Update{{Digest: suspectContent, Server: "s-3", Cleared: true, At: now.Add(-500 * time.Millisecond)}}, updates)
 }
 
 // Alone decides the weight of a crash, so it must survive the transfer.
 func TestSuspicionsRoundTrip(t *testing.T) {
 	now := time.Now()
-	news := []quarantine.News{
-		{Digest: suspectContent, Server: "s-1", Alone: true, At: now.Add(-2 * time.Second)},
+	updates := []quarantine.Update{
+		{Digest: suspectContent, Server: "s-1", SoleAttempt: true, At: now.Add(-2 * time.Second)},
 		{Digest: suspectContent, Server: "s-2", Cleared: true, At: now.Add(-time.Second)},
 		{Digest: suspectContent, At: now},
 	}
-	assert.Equal(t, news, SuspicionsFromProto(SuspicionsToProto(news, now), now))
+	assert.Equal(t, updates, SuspicionsFromProto(SuspicionsToProto(updates, now), now))
 }
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -44,9 +44,9 @@
 	changed func(*View)
 
 	// Suspected is called with the suspicions of an update; it may be nil.
-	Suspected func(news []quarantine.News)
+	Suspected func(updates []quarantine.Update)
 	// Signalled is called with the signals of backend servers in an update; it may be nil.
-	Signalled func(news []backpressure.News)
+	Signalled func(updates []backpressure.News)
 	// Reported is called with each new report of an agent, Renewed when a server has
 	// announced itself without a change; both may be nil.
 	Reported func(r *rpc.AgentReport)
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -15,9 +15,9 @@
 // quarantineReasons are the messages for callers whose request is not dispatched because of its
 // content, by verdict.
 var quarantineReasons = map[quarantine.Verdict]string{
-	quarantine.Held:      "backend servers ended under this request",
-	quarantine.Unsettled: "backend servers ended under this request, and others beside",
-	quarantine.Suspect:   "a backend server ended under this request, and a copy of it runs",
+	quarantine.Quarantined: "backend servers ended under this request",
+	quarantine.Unsettled:   "backend servers ended under this request, and others beside",
+	quarantine.Suspect:     "a backend server ended under this request, and a copy of it runs",
 }
 
 // admit reports whether the request may be dispatched now as far as its content is concerned.
@@ -35,7 +35,7 @@
 		switch verdict {
 		case quarantine.Free:
 			return true
-		case quarantine.Held:
+		case quarantine.Quarantined:
 			c.refuseSuspect(verdict, ended)
 			return false
 		case quarantine.Suspect:
@@ -72,7 +72,7 @@
 func (c *call) refuseSuspect(verdict quarantine.Verdict, ended []string) {
 	c.g.cfg.Metrics.suspectRefusals.WithLabelValues(verdict.String()).Inc()
 	c.endedServers = ended
-	c.noRetryAfter = verdict == quarantine.Held
+	c.noRetryAfter = verdict == quarantine.Quarantined
 	c.giveUp(quarantineReasons[verdict])
 }
 
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -38,7 +38,7 @@
 
 func (e *entry) quarantineContent(path string) {
 	now := time.Now()
-	e.Suspected([]quarantine.News{{Digest: e.contentOf(path), Server: "s-1", At: now}, {Digest: e.contentOf(path), At: now}})
+	e.Suspected([]quarantine.Update{{Digest: e.contentOf(path), Server: "s-1", At: now}, {Digest: e.contentOf(path), At: now}})
 }
 
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
@@ -50,7 +50,7 @@
 	assert.Less(t, time.Since(began), 100*time.Millisecond)
 	assert.Equal(t, http.StatusServiceUnavailable, a.status, "it has not run")
 	assert.Empty(t, a.head.Get("Retry-After"), "no client retry is suggested")
-	assert.Contains(t, a.body, quarantineReasons[quarantine.Held])
+	assert.Contains(t, a.body, quarantineReasons[quarantine.Quarantined])
 	assert.Empty(t, b.requests())
 	assert.Contains(t, e.logs.String(), `"ended_servers":["s-1"]`)
 	assert.Equal(t, http.StatusOK, e.ask(t, http.MethodPost, "/unsafe/y").status, "other content is served")
@@ -69,12 +69,12 @@
 	}
 	e := newEntry(t, backends...)
 	e.onlyEngines()
-	var told []quarantine.News
+	var told []quarantine.Update
 	var mu sync.Mutex
-	e.suspects.publish = func(news []quarantine.News) {
+	e.suspects.publish = func(updates []quarantine.Update) {
 		mu.Lock()
 		defer mu.Unlock()
-		told = append(told, news...)
+		told = append(told, updates...)
 	}
 	first := e.ask(t, http.MethodPost, "/stream/x")
 	assert.Equal(t, http.StatusBadGateway, first.status, "it may have run")
@@ -151,7 +151,7 @@
 		good(w, r)
 	})
 	e := newEntry(t, b)
-	e.Suspected([]quarantine.News{{Digest: e.contentOf("/unsafe/x"), Server: "s-1", At: time.Now()}})
+	e.Suspected([]quarantine.Update{{Digest: e.contentOf("/unsafe/x"), Server: "s-1", At: time.Now()}})
 	var group sync.WaitGroup
 	for range 3 {
 		group.Go(func() { assert.Equal(t, http.StatusOK, e.ask(t, http.MethodPost, "/unsafe/x").status) })
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -79,7 +79,7 @@
 	RetryFloor  int
 	RetryWindow time.Duration
 	// Tell sends reports of suspect content to other entries; it may be nil.
-	Tell func([]quarantine.News)
+	Tell func([]quarantine.Update)
 	// TellSignals sends the signals of backend servers to other entries; it may be nil.
 	TellSignals func([]backpressure.News)
 	// Turns grants the turns of suspect content across entries; it may be nil.
@@ -147,13 +147,13 @@
 func (g *Gateway) Renewed(id string, at time.Time) { g.balancer.Renewed(id, at) }
 
 // Suspected adds reports of other entries on suspect content.
-func (g *Gateway) Suspected(news []quarantine.News) { g.suspects.merge(clock.Now(), news) }
+func (g *Gateway) Suspected(updates []quarantine.Update) { g.suspects.merge(clock.Now(), updates) }
 
 // Suspicions returns this entry's records of suspect content.
-func (g *Gateway) Suspicions() []quarantine.News { return g.suspects.all() }
+func (g *Gateway) Suspicions() []quarantine.Update { return g.suspects.all() }
 
 // LearnSignals adds signals of backend servers that other entries received.
-func (g *Gateway) LearnSignals(news []backpressure.News) { g.balancer.Learn(clock.Now(), news) }
+func (g *Gateway) LearnSignals(updates []backpressure.News) { g.balancer.Learn(clock.Now(), updates) }
 
 // Signals returns the signals of backend servers that are known here.
 func (g *Gateway) Signals() []backpressure.News { return g.balancer.Signals() }
--- a/internal/gateway/suspicions.go
+++ b/internal/gateway/suspicions.go
@@ -31,7 +31,7 @@
 // within this entry, fleet across entries.
 type suspicions struct {
 	log     zerolog.Logger
-	publish func([]quarantine.News)
+	publish func([]quarantine.Update)
 	// fleet grants turns across entries, turns those within this entry.
 	fleet Turns
 	// nonEmpty: the table has records. While it has none, requests take no lock and compute no digest.
@@ -64,12 +64,12 @@
 func (noTurns) AskTurn(context.Context, quarantine.Digest) bool { return true }
 func (noTurns) EndTurn(quarantine.Digest)                       {}
 
-func newSuspicions(log zerolog.Logger, publish func([]quarantine.News), fleet Turns) *suspicions {
+func newSuspicions(log zerolog.Logger, publish func([]quarantine.Update), fleet Turns) *suspicions {
 	if fleet == nil {
 		fleet = noTurns{}
 	}
 	if publish == nil {
-		publish = func([]quarantine.News) {}
+		publish = func([]quarantine.Update) {}
 	}
 	return &suspicions{
 		log: log, publish: publish, fleet: fleet, table: quarantine.New(),
@@ -78,10 +78,10 @@
 }
 
 // merge adds the reports of other entries.
-func (s *suspicions) merge(now time.Time, news []quarantine.News) {
+func (s *suspicions) merge(now time.Time, updates []quarantine.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, n := range news {
+	for _, n := range updates {
 		if s.table.Merge(now, n) && n.Server == "" {
 			s.log.Warn().Stringer("content", n.Digest).Strs("ended_servers", s.table.Evidence(n.Digest)).
 				Bool("let_go", n.Cleared).Msg("work is held back, or let go")
@@ -91,7 +91,7 @@
 }
 
 // all returns all records, for control servers that may have lost them.
-func (s *suspicions) all() []quarantine.News {
+func (s *suspicions) all() []quarantine.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.All()
@@ -122,15 +122,15 @@
 // recordCrash records that an incarnation of a server crashed while it had a request with this
 // content. alone means that the content had no other attempt in progress.
 func (s *suspicions) recordCrash(now time.Time, server string, d quarantine.Digest, alone bool) {
-	news := quarantine.News{Digest: d, Server: server, Alone: alone, At: now}
+	update := quarantine.Update{Digest: d, Server: server, SoleAttempt: alone, At: now}
 	s.mu.Lock()
-	isNew := s.table.Merge(now, news)
+	isNew := s.table.Merge(now, update)
 	verdict := s.table.Verdict(now, d)
 	s.nonEmpty.Store(true)
 	s.mu.Unlock()
 	if isNew {
 		s.log.Info().Stringer("content", d).Str("server", server).Stringer("verdict", verdict).Bool("alone", alone).Msg("backend server crashed while running a request")
-		s.publish([]quarantine.News{news})
+		s.publish([]quarantine.Update{update})
 	}
 }
 
@@ -138,7 +138,7 @@
 // crashed a server.
 func (s *suspicions) recordAnswer(now time.Time, d quarantine.Digest) {
 	s.mu.Lock()
-	cleared := s.table.Served(now, d)
+	cleared := s.table.Answered(now, d)
 	s.mu.Unlock()
 	if len(cleared) > 0 {
 		s.log.Info().Stringer("content", d).Int("ends", len(cleared)).Msg("work is cleared")
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -6,5 +6,5 @@
 // Each entry and each control server has one Table: a set of facts "this content was in flight at
 // this incarnation of a server when it crashed", each of which a complete answer clears. Merging is
 // idempotent and commutative, so that updates in any order and repetition, also from both sides of a
-// network partition, give the same verdicts. Messages: News. Time is an argument.
+// network partition, give the same verdicts. Messages: Update. Time is an argument.
 package quarantine
--- a/internal/quarantine/entries.go
+++ b/internal/quarantine/entries.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Entry describes one suspect or quarantined request content to operators.
-type Entry struct {
+// ContentStatus describes one suspect or quarantined request content to operators.
+type ContentStatus struct {
 	Digest  Digest
 	Verdict Verdict
 	// Servers are the incarnations of servers that crashed with it in flight.
@@ -17,19 +17,19 @@
 }
 
 // Entries returns all content whose verdict is not Free, ordered by digest.
-func (t *Table) Entries(now time.Time) []Entry {
-	var out []Entry
+func (t *Table) Entries(now time.Time) []ContentStatus {
+	var out []ContentStatus
 	for d, r := range t.records {
 		verdict := t.Verdict(now, d)
 		if verdict == Free {
 			continue
 		}
-		e := Entry{Digest: d, Verdict: verdict, Servers: t.Evidence(d)}
+		e := ContentStatus{Digest: d, Verdict: verdict, Servers: t.Evidence(d)}
 		if r.quarantined() {
 			e.Since = r.quarantinedAt
 		}
 		out = append(out, e)
 	}
-	slices.SortFunc(out, func(a, b Entry) int { return bytes.Compare(a.Digest[:], b.Digest[:]) })
+	slices.SortFunc(out, func(a, b ContentStatus) int { return bytes.Compare(a.Digest[:], b.Digest[:]) })
 	return out
 }
--- a/internal/quarantine/frequent_test.go
+++ b/internal/quarantine/frequent_test.go
@@ -50,7 +50,7 @@
 	table := New()
 	for server := range 8 {
 		crashedAt := at(20 * server)
-		table.Merge(crashedAt, News{Digest: content(1), Server: fmt.Sprint("s-", server), Alone: server > 0, At: crashedAt})
+		table.Merge(crashedAt, Update{Digest: content(1), Server: fmt.Sprint("s-", server), SoleAttempt: server > 0, At: crashedAt})
 	}
 	assert.Equal(t, Suspect, table.Verdict(at(2000), content(1)))
 }
@@ -85,7 +85,7 @@
 			for _, s := range targets {
 				if alone || r.IntN(10) < 7 { // in flight at seven in ten servers at any moment
 					crashedAt := at(ms + r.IntN(100))
-					table.Merge(crashedAt, News{Digest: content(i), Server: fmt.Sprintf("s-%d-%d", s, kill), Alone: alone, At: crashedAt})
+					table.Merge(crashedAt, Update{Digest: content(i), Server: fmt.Sprintf("s-%d-%d", s, kill), SoleAttempt: alone, At: crashedAt})
 				}
 			}
 		}
@@ -96,11 +96,11 @@
 		later := ms + l.gapMS - 100
 		for i := range l.frequent {
 			switch table.Verdict(at(later), content(i)) {
-			case Held, Unsettled:
+			case Quarantined, Unsettled:
 				quarantined++
 			case Suspect:
 				if l.answers && (l.killed < l.servers || l.downMS < l.gapMS-200) {
-					table.Served(at(later), content(i))
+					table.Answered(at(later), content(i))
 				}
 			}
 		}
@@ -133,8 +133,8 @@
 		table.crashed(fmt.Sprint("s-", s), 20*s, content(1))
 	}
 	assert.Equal(t, Suspect, table.Verdict(at(500), content(1)))
-	table.Merge(at(900), News{Digest: content(1), Server: "s-6", Alone: true, At: at(900)})
-	assert.Equal(t, Held, table.Verdict(at(900).Add(settleTime), content(1)))
+	table.Merge(at(900), Update{Digest: content(1), Server: "s-6", SoleAttempt: true, At: at(900)})
+	assert.Equal(t, Quarantined, table.Verdict(at(900).Add(settleTime), content(1)))
 }
 
 // A request that crashes its server at once is retried within milliseconds, so that its crashes fall
@@ -144,10 +144,10 @@
 	table.crashed("s-1", 0, content(1))
 	for i, server := range []string{"s-2", "s-3"} {
 		ms := 5 * (i + 1)
-		table.Merge(at(ms), News{Digest: content(1), Server: server, Alone: true, At: at(ms)})
+		table.Merge(at(ms), Update{Digest: content(1), Server: server, SoleAttempt: true, At: at(ms)})
 	}
 	assert.Equal(t, Unsettled, table.Verdict(at(20), content(1)))
-	assert.Equal(t, Held, table.Verdict(at(20).Add(settleTime), content(1)))
+	assert.Equal(t, Quarantined, table.Verdict(at(20).Add(settleTime), content(1)))
 }
 
 // Four to thirty servers are killed each second, while a request crashes the server of each attempt,
@@ -161,7 +161,7 @@
 		killed, firstKill := 4+r.IntN(27), r.IntN(1000)
 		table := New()
 		next, crashes, third, ms := 0, 0, 0, 0
-		for ; table.Verdict(at(ms), content(0)) != Held; ms += 10 {
+		for ; table.Verdict(at(ms), content(0)) != Quarantined; ms += 10 {
 			if ms%1000 == firstKill/10*10 {
 				for s := range killed {
 					table.crashed(fmt.Sprintf("k-%d-%d", ms, s), ms+r.IntN(100), content(1000+s))
@@ -169,7 +169,7 @@
 			}
 			if ms >= next && table.Verdict(at(ms), content(0)) != Unsettled {
 				crashes++
-				table.Merge(at(ms), News{Digest: content(0), Server: fmt.Sprint("c-", crashes), Alone: crashes > 1, At: at(ms)})
+				table.Merge(at(ms), Update{Digest: content(0), Server: fmt.Sprint("c-", crashes), SoleAttempt: crashes > 1, At: at(ms)})
 				next = ms + 100 + r.IntN(400)
 				if crashes == 3 {
 					third = ms
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -20,16 +20,16 @@
 	maxRecords = 4096
 )
 
-// News is an update with one fact. With a Server, the content was in flight at that incarnation of a
+// Update is an update with one fact. With a Server, the content was in flight at that incarnation of a
 // server when it crashed, and Cleared means that it was answered completely since. Without a Server,
 // the content is quarantined or, if Cleared, was released by an operator: earlier facts count no more.
-type News struct {
+type Update struct {
 	Digest  Digest
 	Server  string
 	Cleared bool
-	// Alone: the attempt was dispatched after another server had crashed with the content, as the
+	// SoleAttempt: the attempt was dispatched after another server had crashed with the content, as the
 	// only one in flight.
-	Alone bool
+	SoleAttempt bool
 	// At is when the server crashed, or the content was quarantined or released, by the clock of
 	// the table.
 	At time.Time
@@ -74,7 +74,7 @@
 func (t *Table) Len() int { return len(t.records) }
 
 // Merge adds a fact and reports whether it was new.
-func (t *Table) Merge(now time.Time, n News) bool {
+func (t *Table) Merge(now time.Time, n Update) bool {
 	if now.Sub(n.At) > retention {
 		return false
 	}
@@ -97,13 +97,13 @@
 	if !ok {
 		known.at = n.At
 	}
-	joined := crash{at: known.at, cleared: known.cleared || n.Cleared, alone: known.alone || n.Alone}
+	joined := crash{at: known.at, cleared: known.cleared || n.Cleared, alone: known.alone || n.SoleAttempt}
 	r.crashes[n.Server] = joined
 	return !ok || joined != known
 }
 
 // mergeVerdict records that the content is quarantined or was released.
-func (r *record) mergeVerdict(n News) bool {
+func (r *record) mergeVerdict(n Update) bool {
 	if n.Cleared {
 		if n.At.Sub(r.releasedAt) <= relaySlack {
 			return false
@@ -118,16 +118,16 @@
 	return !wasQuarantined && r.quarantined()
 }
 
-// Served records that the content was answered completely, and returns the facts that this clears.
-func (t *Table) Served(now time.Time, d Digest) []News {
+// Answered records that the content was answered completely, and returns the facts that this clears.
+func (t *Table) Answered(now time.Time, d Digest) []Update {
 	r := t.records[d]
 	if r == nil {
 		return nil
 	}
-	var out []News
+	var out []Update
 	for server, f := range r.crashes {
 		if !f.cleared {
-			n := News{Digest: d, Server: server, Cleared: true, At: f.at}
+			n := Update{Digest: d, Server: server, Cleared: true, At: f.at}
 			t.Merge(now, n)
 			out = append(out, n)
 		}
@@ -150,12 +150,12 @@
 	return out
 }
 
-// Settle quarantines the content whose verdict is Held by now, and returns the updates about it.
-func (t *Table) Settle(now time.Time) []News {
-	var out []News
+// Quarantine records as quarantined the content whose verdict is Quarantined by now, and returns the updates about it.
+func (t *Table) Quarantine(now time.Time) []Update {
+	var out []Update
 	for d, r := range t.records {
-		if !r.quarantined() && t.Verdict(now, d) == Held {
-			n := News{Digest: d, At: now}
+		if !r.quarantined() && t.Verdict(now, d) == Quarantined {
+			n := Update{Digest: d, At: now}
 			t.Merge(now, n)
 			out = append(out, n)
 		}
@@ -164,19 +164,19 @@
 }
 
 // All returns all facts that count, for a daemon that has just started; cleared crashes are left out.
-func (t *Table) All() []News {
-	var out []News
+func (t *Table) All() []Update {
+	var out []Update
 	for d, r := range t.records {
 		for server, f := range r.crashes {
 			if r.counts(f) {
-				out = append(out, News{Digest: d, Server: server, Alone: f.alone, At: f.at})
+				out = append(out, Update{Digest: d, Server: server, SoleAttempt: f.alone, At: f.at})
 			}
 		}
 		if !r.releasedAt.IsZero() {
-			out = append(out, News{Digest: d, Cleared: true, At: r.releasedAt})
+			out = append(out, Update{Digest: d, Cleared: true, At: r.releasedAt})
 		}
 		if r.quarantined() {
-			out = append(out, News{Digest: d, At: r.quarantinedAt})
+			out = append(out, Update{Digest: d, At: r.quarantinedAt})
 		}
 	}
 	return out
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -21,7 +21,7 @@
 // crashed records that contents were in flight at a server when it crashed.
 func (t *Table) crashed(server string, ms int, digests ...Digest) {
 	for _, d := range digests {
-		t.Merge(at(ms), News{Digest: d, Server: server, At: at(ms)})
+		t.Merge(at(ms), Update{Digest: d, Server: server, At: at(ms)})
 	}
 }
 
@@ -35,7 +35,7 @@
 	assert.Equal(t, Suspect, table.Verdict(at(1000), content(1)), "two may be a coincidence")
 	table.crashed("s-3", 1100, content(1))
 	assert.Equal(t, Unsettled, table.Verdict(at(1100), content(1)), "not dispatched, not quarantined")
-	assert.Equal(t, Held, table.Verdict(at(1100).Add(settleTime), content(1)))
+	assert.Equal(t, Quarantined, table.Verdict(at(1100).Add(settleTime), content(1)))
 	assert.Equal(t, []string{"s-1", "s-2", "s-3"}, table.Evidence(content(1)))
 	assert.Equal(t, Free, table.Verdict(at(1500), content(2)), "other content is unaffected")
 }
@@ -46,7 +46,7 @@
 		table.crashed(server, 1000*i, content(1))
 		other.crashed(server, 1000*i, content(1))
 	}
-	for _, n := range table.Served(at(1500), content(1)) {
+	for _, n := range table.Answered(at(1500), content(1)) {
 		other.Merge(at(1500), n)
 	}
 	assert.Equal(t, Free, table.Verdict(at(1500), content(1)))
@@ -60,7 +60,7 @@
 func TestClearedContentIsForgottenSoon(t *testing.T) {
 	table := New()
 	table.crashed("s-1", 0, content(1), content(2))
-	table.Served(at(1000), content(1))
+	table.Answered(at(1000), content(1))
 	assert.Len(t, table.All(), 1, "cleared crashes are left out")
 	table.Forget(at(1000).Add(clearedRetention + time.Second))
 	assert.Equal(t, 1, table.Len())
@@ -73,10 +73,10 @@
 		table.crashed(server, 1000*i, content(1))
 	}
 	now := at(3000)
-	assert.Len(t, table.Settle(now), 1)
-	assert.Empty(t, table.Settle(now), "reported once")
+	assert.Len(t, table.Quarantine(now), 1)
+	assert.Empty(t, table.Quarantine(now), "reported once")
 	table.Forget(now.Add(retention - time.Second))
-	assert.Equal(t, Held, table.Verdict(now.Add(retention-time.Second), content(1)))
+	assert.Equal(t, Quarantined, table.Verdict(now.Add(retention-time.Second), content(1)))
 	table.Forget(now.Add(retention + time.Second))
 	assert.True(t, table.Empty())
 }
@@ -84,32 +84,32 @@
 // Entries that start later receive the verdict from the log without the crashes that led to it.
 func TestQuarantineNeedsNoEvidence(t *testing.T) {
 	table := New()
-	table.Merge(at(0), News{Digest: content(1), At: at(0)})
-	assert.Equal(t, Held, table.Verdict(at(10), content(1)))
+	table.Merge(at(0), Update{Digest: content(1), At: at(0)})
+	assert.Equal(t, Quarantined, table.Verdict(at(10), content(1)))
 }
 
 // Both sides of a network partition, and entries that receive updates in different orders, must
 // reach the same verdicts.
 func TestMergeIsIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var news []News
+		var updates []Update
 		for range rapid.IntRange(1, 40).Draw(t, "facts") {
-			n := News{Digest: content(rapid.IntRange(0, 3).Draw(t, "work")), At: at(rapid.IntRange(0, 5000).Draw(t, "at"))}
+			n := Update{Digest: content(rapid.IntRange(0, 3).Draw(t, "work")), At: at(rapid.IntRange(0, 5000).Draw(t, "at"))}
 			if server := rapid.IntRange(0, 6).Draw(t, "server"); server > 0 {
 				// A server has one time of crash.
 				n.Server, n.At = fmt.Sprint("s-", server), at(700*server)
-				n.Cleared, n.Alone = rapid.Bool().Draw(t, "cleared"), rapid.Bool().Draw(t, "alone")
+				n.Cleared, n.SoleAttempt = rapid.Bool().Draw(t, "cleared"), rapid.Bool().Draw(t, "alone")
 			} else if rapid.Bool().Draw(t, "lifted") {
 				n.Cleared, n.At = true, at(2000*rapid.IntRange(0, 2).Draw(t, "lift"))
 			}
-			news = append(news, n)
+			updates = append(updates, n)
 		}
 		now := at(6000)
 		a, b := New(), New()
-		for _, n := range news {
+		for _, n := range updates {
 			a.Merge(now, n)
 		}
-		order := rapid.Permutation(append(news, news...)).Draw(t, "order")
+		order := rapid.Permutation(append(updates, updates...)).Draw(t, "order")
 		for _, n := range order {
 			b.Merge(now, n)
 		}
@@ -125,20 +125,20 @@
 	for i, server := range []string{"s-1", "s-2", "s-3"} {
 		table.crashed(server, 1000*i, content(1))
 	}
-	table.Settle(at(3000))
-	assert.Equal(t, []Entry{{Digest: content(1), Verdict: Held, Servers: []string{"s-1", "s-2", "s-3"}, Since: at(3000)}}, table.Entries(at(3000)))
-	release := News{Digest: content(1), Cleared: true, At: at(5000)}
+	table.Quarantine(at(3000))
+	assert.Equal(t, []ContentStatus{{Digest: content(1), Verdict: Quarantined, Servers: []string{"s-1", "s-2", "s-3"}, Since: at(3000)}}, table.Entries(at(3000)))
+	release := Update{Digest: content(1), Cleared: true, At: at(5000)}
 	assert.True(t, table.Merge(at(5000), release))
 	release.At = at(5020)
 	assert.False(t, table.Merge(at(5020), release), "the same release through another daemon")
 	assert.Equal(t, Free, table.Verdict(at(5000), content(1)))
 	assert.Empty(t, table.Entries(at(5000)))
-	table.Merge(at(5100), News{Digest: content(1), At: at(3000)}) // from an entry that does not know of the release
+	table.Merge(at(5100), Update{Digest: content(1), At: at(3000)}) // from an entry that does not know of the release
 	assert.Equal(t, Free, table.Verdict(at(5100), content(1)))
 	for i, server := range []string{"s-4", "s-5", "s-6"} {
 		table.crashed(server, 6000+1000*i, content(1))
 	}
-	assert.Equal(t, Held, table.Verdict(at(9000), content(1)), "it crashes servers again")
+	assert.Equal(t, Quarantined, table.Verdict(at(9000), content(1)), "it crashes servers again")
 }
 
 func TestDigestIsReadBack(t *testing.T) {
@@ -156,12 +156,12 @@
 	for i, server := range []string{"s-1", "s-2", "s-3"} {
 		table.crashed(server, 1000*i, content(0))
 	}
-	table.Settle(at(4000))
+	table.Quarantine(at(4000))
 	for i := range 2 * maxRecords {
 		table.crashed("s-9", 5000+i, content(i+1))
 	}
 	assert.Equal(t, maxRecords, table.Len())
-	assert.Equal(t, Held, table.Verdict(at(20000), content(0)), "quarantined content is evicted last")
+	assert.Equal(t, Quarantined, table.Verdict(at(20000), content(0)), "quarantined content is evicted last")
 }
 
 // 60 of 100 servers with 8 requests each are killed at once, three times, a second apart; what was in
@@ -202,13 +202,13 @@
 				running[to] = append(running[to], d)
 			}
 			for i := range next {
-				if v := table.Verdict(at(ms+900), content(i+1)); v == Held || v == Unsettled {
+				if v := table.Verdict(at(ms+900), content(i+1)); v == Quarantined || v == Unsettled {
 					quarantined[content(i+1)] = true
 				}
 			}
 		}
 		assert.Empty(t, quarantined, "seed %d", seed)
-		assert.Equal(t, Held, table.Verdict(at(crashedAt).Add(settleTime), crashing), "seed %d", seed)
+		assert.Equal(t, Quarantined, table.Verdict(at(crashedAt).Add(settleTime), crashing), "seed %d", seed)
 	}
 }
 
@@ -222,6 +222,6 @@
 		}
 	}
 	for i := range 6 {
-		assert.Equal(t, Held, table.Verdict(at(4000), content(i)))
+		assert.Equal(t, Quarantined, table.Verdict(at(4000), content(i)))
 	}
 }
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -45,8 +45,8 @@
 	// Unsettled content was at so many servers that crashed that it may be the cause: it waits
 	// until updates about other crashes have arrived.
 	Unsettled
-	// Held content is quarantined: it is not dispatched to any server.
-	Held
+	// Quarantined content is quarantined: it is not dispatched to any server.
+	Quarantined
 )
 
 // String returns the verdict's name, as in logs.
@@ -60,7 +60,7 @@
 	}
 	if r.quarantined() {
 		if now.Sub(r.quarantinedAt) < retention {
-			return Held
+			return Quarantined
 		}
 		return Suspect
 	}
@@ -77,7 +77,7 @@
 	case now.Sub(newest) < settleTime:
 		return Unsettled
 	}
-	return Held
+	return Quarantined
 }
 
 // weigh returns the weight of all crashes that count against the content, by event, and the time of
