--- a/internal/agent/limiter.go
+++ b/internal/agent/limiter.go
@@ -32,7 +32,7 @@
 		return l.backoff.Until.Sub(now), false
 	}
 	if l.limit.InForce {
-		if opens := l.pacer.Opens(now, backpressure.WholeOf(l.limit.Rate)); opens.After(now) {
+		if opens := l.pacer.NextAt(now, backpressure.WholePart(l.limit.Rate)); opens.After(now) {
 			return opens.Sub(now), false
 		}
 	}
@@ -48,7 +48,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	asked := backpressure.ReadRetryAfter(resp.Header, time.Now())
-	if l.backoff.Ask(now, asked) {
+	if l.backoff.Request(now, asked) {
 		l.log.Info().Dur("for_ms", asked).Msg("backend server requests backoff")
 	}
 	return asked
@@ -64,11 +64,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before := l.limit
-	if !l.limit.Hear(now, sentAt, stated) {
+	if !l.limit.ApplyAnswer(now, sentAt, stated) {
 		return
 	}
 	if l.limit.InForce && !before.InForce {
-		l.pacer.Begin(now)
+		l.pacer.Reset(now)
 	}
 	l.log.Info().Bool("limited", l.limit.InForce).Float64("rate", l.limit.Rate).Bool("was_limited", before.InForce).
 		Float64("rate_before", before.Rate).Msg("backend server's limit changed")
--- a/internal/backpressure/backoff.go
+++ b/internal/backpressure/backoff.go
@@ -37,18 +37,18 @@
 
 // Backoff is the time for which an incarnation of a backend server accepts no requests of this entry.
 type Backoff struct {
-	// Until is when it is over; AskedAt when it was requested last.
-	Until, AskedAt time.Time
+	// Until is when it is over; RequestedAt when it was requested last.
+	Until, RequestedAt time.Time
 }
 
-// Ask records a request for backoff; a shorter one does not cut a longer one. It reports whether
+// Request records a backoff that the server requests; a shorter one does not cut a longer one. It reports whether
 // the server was not backing off before.
-func (r *Backoff) Ask(now time.Time, d time.Duration) bool {
+func (r *Backoff) Request(now time.Time, d time.Duration) bool {
 	if d <= 0 {
 		return false
 	}
 	begins := !now.Before(r.Until)
-	r.AskedAt = now
+	r.RequestedAt = now
 	if until := now.Add(d); until.After(r.Until) {
 		r.Until = until
 	}
--- a/internal/backpressure/backoff_test.go
+++ b/internal/backpressure/backoff_test.go
@@ -36,11 +36,11 @@
 
 func TestShorterBackoffDoesNotCutLongerOne(t *testing.T) {
 	var r Backoff
-	assert.True(t, r.Ask(at(0), 3*time.Second))
-	assert.False(t, r.Ask(at(1), time.Second))
-	assert.False(t, r.Ask(at(1), 0))
+	assert.True(t, r.Request(at(0), 3*time.Second))
+	assert.False(t, r.Request(at(1), time.Second))
+	assert.False(t, r.Request(at(1), 0))
 	assert.False(t, r.Over(at(2.9)))
 	assert.True(t, r.Over(at(3)))
-	assert.False(t, r.Ask(at(2), 3*time.Second))
+	assert.False(t, r.Request(at(2), 3*time.Second))
 	assert.False(t, r.Over(at(4.9)))
 }
--- a/internal/backpressure/limit.go
+++ b/internal/backpressure/limit.go
@@ -2,7 +2,7 @@
 // headers of answers: a limit of requests per second over all entries, and a backoff for the requests
 // of one entry.
 //
-// State: one record per incarnation of a backend server. Messages: News; time is an argument.
+// State: one record per incarnation of a backend server. Messages: Update; time is an argument.
 package backpressure
 
 import (
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Statement is what the headers of one answer say about a limit.
-type Statement struct {
+// LimitSignal is what the headers of one answer say about a limit.
+type LimitSignal struct {
 	// Named: the answer names a limit; Rate is in requests per second of all entries together.
 	Named bool
 	Rate  float64
@@ -23,8 +23,8 @@
 
 // ReadLimit parses the values of an answer's header: finite decimal numbers, 0 or more. Of
 // several limits the lowest counts.
-func ReadLimit(values []string) Statement {
-	var s Statement
+func ReadLimit(values []string) LimitSignal {
+	var s LimitSignal
 	for _, value := range values {
 		rate, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 		if err != nil || !(rate >= 0) || math.IsInf(rate, 0) {
@@ -32,7 +32,7 @@
 			continue
 		}
 		if !s.Named || rate < s.Rate {
-			s = Statement{Named: true, Rate: rate}
+			s = LimitSignal{Named: true, Rate: rate}
 		}
 	}
 	return s
@@ -43,26 +43,26 @@
 	// InForce: the server has named a limit and not lifted it; Rate is in requests per second.
 	InForce bool
 	Rate    float64
-	// HeardAt is when it was last named or lifted.
-	HeardAt time.Time
+	// ReceivedAt is when it was last named or lifted.
+	ReceivedAt time.Time
 }
 
-// Hear applies a statement from the answer to a request that was sent at sentAt, and reports
+// ApplyAnswer applies the signal of the answer to a request that was sent at sentAt, and reports
 // whether the limit changed. Answers overtake each other: a limit is lifted or raised only by the
 // answer to a request that was sent after it was last named.
-func (l *Limit) Hear(now, sentAt time.Time, s Statement) bool {
-	overtaken := l.InForce && !sentAt.After(l.HeardAt)
+func (l *Limit) ApplyAnswer(now, sentAt time.Time, s LimitSignal) bool {
+	overtaken := l.InForce && !sentAt.After(l.ReceivedAt)
 	switch {
 	case s.Unreadable:
 		return false
 	case !s.Named && (!l.InForce || overtaken):
 		return false
 	case !s.Named:
-		*l = Limit{HeardAt: now}
+		*l = Limit{ReceivedAt: now}
 		return true
 	}
 	before := *l
-	l.HeardAt = now
+	l.ReceivedAt = now
 	if !before.InForce || !overtaken || s.Rate < before.Rate {
 		l.InForce, l.Rate = true, s.Rate
 	}
--- a/internal/backpressure/load_test.go
+++ b/internal/backpressure/load_test.go
@@ -92,7 +92,7 @@
 	}
 	for _, e := range entries {
 		e.known, e.part = names, how(l.rate, e.Name, names)
-		e.pacer.Begin(start)
+		e.pacer.Reset(start)
 	}
 	var arrivals []time.Time
 	callers, served := 0, 0
@@ -119,7 +119,7 @@
 			}
 			callers++
 			switch {
-			case !e.pacer.Opens(now, e.part).After(now):
+			case !e.pacer.NextAt(now, e.part).After(now):
 				e.pacer.Sent(now)
 				arrivals = append(arrivals, now)
 				served++
@@ -155,7 +155,7 @@
 	switch l.change {
 	case "joins": // one of the others never learns of it
 		e := &loadEntry{Entry: Entry{Name: "joined", Zone: limitedZone}, weight: 1, known: names}
-		e.pacer.Begin(now)
+		e.pacer.Reset(now)
 		entries = append(entries, e)
 		for i, other := range entries {
 			if i > 0 { // the new entry is included
--- a/internal/backpressure/pacer.go
+++ b/internal/backpressure/pacer.go
@@ -34,15 +34,15 @@
 	probeDue time.Time
 }
 
-// Begin empties the pacer when a limit comes into force: entries that receive it at the same moment
+// Reset empties the pacer when a limit comes into force: entries that receive it at the same moment
 // must not all send at once.
-func (p *Pacer) Begin(now time.Time) {
+func (p *Pacer) Reset(now time.Time) {
 	p.tokens, p.at, p.probeDue = 0, now, time.Time{}
 }
 
-// Opens returns when the entry may send next with this part of the limit; now, if it may send
+// NextAt returns when the entry may send next with this part of the limit; now, if it may send
 // at once.
-func (p *Pacer) Opens(now time.Time, part Part) time.Time {
+func (p *Pacer) NextAt(now time.Time, part Part) time.Time {
 	if part.Rate <= 0 {
 		return p.probe(now, part.Probe)
 	}
--- a/internal/backpressure/part.go
+++ b/internal/backpressure/part.go
@@ -39,8 +39,8 @@
 	Probe time.Duration
 }
 
-// WholeOf returns the part of an entry that holds the whole limit, in requests per second.
-func WholeOf(rate float64) Part { return Part{Rate: max(rate, minRate)} }
+// WholePart returns the part of an entry that holds the whole limit, in requests per second.
+func WholePart(rate float64) Part { return Part{Rate: max(rate, minRate)} }
 
 // PartOf returns the part of a limit in requests per second that the entry self holds. Entries in
 // the server's zone come first. entries must contain self, and each entry once.
--- a/internal/balance/backoff.go
+++ b/internal/balance/backoff.go
@@ -13,7 +13,7 @@
 	defer b.mu.Unlock()
 	s := c.Server
 	s.signals.probing = true
-	if s.signals.backoff.Ask(now, d) {
+	if s.signals.backoff.Request(now, d) {
 		b.cfg.Logger.Info().Str("server", s.ID).Str("addr", s.Addr).Dur("for_ms", d).Int("own_requests", s.inFlight).
 			Msg("backend server requests backoff")
 	}
@@ -34,7 +34,7 @@
 	defer b.mu.Unlock()
 	b.endProbe(c)
 	sig := c.Server.signals
-	if !sig.probing || !c.pickedAt.After(sig.backoff.AskedAt) {
+	if !sig.probing || !c.pickedAt.After(sig.backoff.RequestedAt) {
 		return false
 	}
 	sig.probing = false
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -81,14 +81,14 @@
 	signals map[string]*signals
 	peers   peers
 	// publishSignals is called, without the lock, with updates for other entries.
-	publishSignals func([]backpressure.News)
+	publishSignals func([]backpressure.Update)
 	// slotFreed is called, without the lock, when a server may have a free slot.
 	slotFreed func()
 }
 
 // New returns a balancer without servers.
 func New(cfg Config) *Balancer {
-	return &Balancer{cfg: cfg, servers: map[string]*Server{}, services: map[string][]*Server{}, view: &follow.View{}, unseen: map[string]*unseen{}, loadingPhases: map[string]*loadingPhase{}, signals: map[string]*signals{}, publishSignals: func([]backpressure.News) {}, slotFreed: func() {}}
+	return &Balancer{cfg: cfg, servers: map[string]*Server{}, services: map[string][]*Server{}, view: &follow.View{}, unseen: map[string]*unseen{}, loadingPhases: map[string]*loadingPhase{}, signals: map[string]*signals{}, publishSignals: func([]backpressure.Update) {}, slotFreed: func() {}}
 }
 
 // OnRoom sets the callback for servers that may have a free slot. Call it before any other
--- a/internal/balance/fits.go
+++ b/internal/balance/fits.go
@@ -47,7 +47,7 @@
 		if reason == nil && !s.signals.backoff.Over(now) {
 			room.opensAt(s.signals.backoff.Until)
 		}
-		room.throttle(s, "backoff", now.Sub(s.signals.backoff.AskedAt), s.signals.backoff.Until.Sub(now))
+		room.throttle(s, "backoff", now.Sub(s.signals.backoff.RequestedAt), s.signals.backoff.Until.Sub(now))
 	case now.Before(s.busyUntil):
 		room.Busy++
 		room.countLater(reason == nil)
@@ -62,7 +62,7 @@
 		room.Limited++
 		room.Later++
 		room.opensAt(opens)
-		room.throttle(s, "limit", now.Sub(s.signals.limit.HeardAt), opens.Sub(now))
+		room.throttle(s, "limit", now.Sub(s.signals.limit.ReceivedAt), opens.Sub(now))
 	}
 	return 0, false
 }
--- a/internal/balance/limit.go
+++ b/internal/balance/limit.go
@@ -7,11 +7,11 @@
 )
 
 // LimitSignalled applies what the headers of an answer say about the server's limit.
-func (b *Balancer) LimitSignalled(c *Choice, now time.Time, statement backpressure.Statement) {
+func (b *Balancer) LimitSignalled(c *Choice, now time.Time, statement backpressure.LimitSignal) {
 	b.mu.Lock()
 	s := c.Server
 	before := s.signals.limit
-	if !s.signals.limit.Hear(now, c.pickedAt, statement) {
+	if !s.signals.limit.ApplyAnswer(now, c.pickedAt, statement) {
 		b.mu.Unlock()
 		return
 	}
@@ -28,9 +28,9 @@
 func (b *Balancer) limitChanged(now time.Time, sig *signals, before backpressure.Limit, source string) {
 	limit := sig.limit
 	if limit.InForce && !before.InForce {
-		sig.pacer.Begin(now)
+		sig.pacer.Reset(now)
 	}
-	event := b.cfg.Logger.Info().Str("server", sig.id).Str("start", sig.start).Str("source", source).Dur("age_ms", now.Sub(limit.HeardAt)).
+	event := b.cfg.Logger.Info().Str("server", sig.id).Str("start", sig.start).Str("source", source).Dur("age_ms", now.Sub(limit.ReceivedAt)).
 		Bool("limited", limit.InForce).Float64("rate", limit.Rate).Bool("was_limited", before.InForce).Float64("rate_before", before.Rate)
 	if s := b.servers[sig.id]; s != nil && s.signals == sig && limit.InForce {
 		b.peers.update(now, b.self(), b.view.Entries)
@@ -56,5 +56,5 @@
 	if !s.signals.limit.InForce {
 		return now
 	}
-	return s.signals.pacer.Opens(now, b.partOf(s))
+	return s.signals.pacer.NextAt(now, b.partOf(s))
 }
--- a/internal/balance/news.go
+++ b/internal/balance/news.go
@@ -11,20 +11,20 @@
 
 // OnSignals sets the callback for updates about servers' signals for other entries; nil for none.
 // Call it before any other goroutine uses the balancer.
-func (b *Balancer) OnSignals(publish func([]backpressure.News)) {
+func (b *Balancer) OnSignals(publish func([]backpressure.Update)) {
 	if publish != nil {
 		b.publishSignals = publish
 	}
 }
 
 // Learn applies the updates of other entries.
-func (b *Balancer) Learn(now time.Time, updates []backpressure.News) {
+func (b *Balancer) Learn(now time.Time, updates []backpressure.Update) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, n := range updates {
-		sig := b.signalsOf(n.Start, n.At)
+		sig := b.signalsOf(n.Incarnation, n.At)
 		before := sig.limit
-		if sig.limit.Learn(n) {
+		if sig.limit.ApplyUpdate(n) {
 			sig.unpublished = false
 			b.limitChanged(now, sig, before, "entry")
 		}
@@ -36,7 +36,7 @@
 
 // takeUnpublished returns the updates that are due to be published. Updates about a server whose
 // signals change all the time are published once per publishInterval.
-func (b *Balancer) takeUnpublished(now time.Time) (updates []backpressure.News) {
+func (b *Balancer) takeUnpublished(now time.Time) (updates []backpressure.Update) {
 	for _, sig := range b.signals {
 		if sig.unpublished && now.Sub(sig.publishedAt) >= publishInterval {
 			sig.unpublished, sig.publishedAt = false, now
@@ -48,21 +48,21 @@
 
 // Signals returns the current signals of all servers, for control servers that may have
 // lost them.
-func (b *Balancer) Signals() (updates []backpressure.News) {
+func (b *Balancer) Signals() (updates []backpressure.Update) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, sig := range b.signals {
-		if !sig.limit.HeardAt.IsZero() || !sig.leavingAt.IsZero() {
+		if !sig.limit.ReceivedAt.IsZero() || !sig.leavingAt.IsZero() {
 			updates = append(updates, sig.update())
 		}
 	}
 	return updates
 }
 
-func (s *signals) update() backpressure.News {
-	at := s.limit.HeardAt
+func (s *signals) update() backpressure.Update {
+	at := s.limit.ReceivedAt
 	if s.leavingAt.After(at) {
 		at = s.leavingAt
 	}
-	return backpressure.News{Start: s.start, Limited: s.limit.InForce, Rate: s.limit.Rate, Leaving: !s.leavingAt.IsZero(), At: at}
+	return backpressure.Update{Incarnation: s.start, Limited: s.limit.InForce, Rate: s.limit.Rate, Leaving: !s.leavingAt.IsZero(), At: at}
 }
--- a/internal/balance/signals.go
+++ b/internal/balance/signals.go
@@ -61,7 +61,7 @@
 
 // refreshSignals updates the peers, drops the signals of old incarnations, and returns the
 // updates to publish.
-func (b *Balancer) refreshSignals(now time.Time) []backpressure.News {
+func (b *Balancer) refreshSignals(now time.Time) []backpressure.Update {
 	b.peers.update(now, b.self(), b.view.Entries)
 	for _, s := range b.servers {
 		if s.record.State != fleet.StateGone {
--- a/internal/balance/signals_test.go
+++ b/internal/balance/signals_test.go
@@ -11,7 +11,7 @@
 	"lynxgate.dev/lynxgate/internal/follow"
 )
 
-var oneASecond = backpressure.Statement{Named: true, Rate: 1}
+var oneASecond = backpressure.LimitSignal{Named: true, Rate: 1}
 
 // limitedServer returns a balancer whose only server has named a limit of one request per second.
 func limitedServer(t *testing.T) *Balancer {
@@ -63,13 +63,13 @@
 
 func TestLimitAndItsEndArePublished(t *testing.T) {
 	b, other := balancer(view(record("1", "here", 1))), named("other", view(record("1", "here", 1)))
-	b.OnSignals(func(updates []backpressure.News) { other.Learn(start, updates) })
+	b.OnSignals(func(updates []backpressure.Update) { other.Learn(start, updates) })
 	b.LimitSignalled(pick(t, b, start, want()), start, oneASecond)
 	none, room := other.Pick(start, want())
 	assert.Nil(t, none.Server)
 	assert.Equal(t, 1, room.Limited)
 	later := start.Add(2 * time.Second)
-	b.LimitSignalled(pick(t, b, later, want()), later.Add(time.Millisecond), backpressure.Statement{})
+	b.LimitSignalled(pick(t, b, later, want()), later.Add(time.Millisecond), backpressure.LimitSignal{})
 	pick(t, other, later, want())
 	pick(t, other, later, want())
 	assert.Len(t, b.Signals(), 1)
@@ -78,12 +78,12 @@
 func TestFrequentLimitChangesAreThrottled(t *testing.T) {
 	b := balancer(view(record("1", "here", 1)))
 	published := 0
-	b.OnSignals(func(updates []backpressure.News) { published += len(updates) })
+	b.OnSignals(func(updates []backpressure.Update) { published += len(updates) })
 	c := pick(t, b, start, want())
 	for i := range 100 {
 		now := start.Add(time.Duration(i+1) * 10 * time.Millisecond)
 		c.pickedAt = now
-		b.LimitSignalled(c, now.Add(time.Millisecond), backpressure.Statement{Named: true, Rate: float64(100 - i)})
+		b.LimitSignalled(c, now.Add(time.Millisecond), backpressure.LimitSignal{Named: true, Rate: float64(100 - i)})
 	}
 	assert.Equal(t, 2, published)
 	b.Refresh(start.Add(3 * time.Second))
@@ -123,7 +123,7 @@
 	first := record("1", "here", 1)
 	first.Born = 1
 	b, other := balancer(view(first)), named("other", view(first))
-	b.OnSignals(func(updates []backpressure.News) { other.Learn(start, updates) })
+	b.OnSignals(func(updates []backpressure.Update) { other.Learn(start, updates) })
 	b.LeavingSignalled(pick(t, b, start, want()), start)
 	later := *first
 	later.Seq, later.SeenAt = 9, start.Add(time.Second)
--- a/internal/fleetcontrol/follower.go
+++ b/internal/fleetcontrol/follower.go
@@ -31,7 +31,7 @@
 	// suspicions are to be sent.
 	suspicions []quarantine.Update
 	// signals of backend servers are to be sent.
-	signals []backpressure.News
+	signals []backpressure.Update
 	// turns are answers to be sent.
 	turns []*rpc.Turn
 	// configVersion is the newest configuration that the follower was sent or has
--- a/internal/fleetcontrol/signals_test.go
+++ b/internal/fleetcontrol/signals_test.go
@@ -19,10 +19,10 @@
 	for _, f := range []*follower{entry, peer, agent} {
 		h.next(f)
 	}
-	signal := backpressure.News{Start: "s-1", Limited: true, Rate: 2.3, At: clock.Now()}
-	h.mergeSignals([]backpressure.News{signal})
+	signal := backpressure.Update{Incarnation: "s-1", Limited: true, Rate: 2.3, At: clock.Now()}
+	h.mergeSignals([]backpressure.Update{signal})
 	signal.At = clock.Now()
-	h.mergeSignals([]backpressure.News{signal}) // from another entry, or from a control server
+	h.mergeSignals([]backpressure.Update{signal}) // from another entry, or from a control server
 	for _, f := range []*follower{entry, peer} {
 		u := h.next(f)
 		require.NotNil(t, u)
--- a/internal/fleetdaemon/entry.go
+++ b/internal/fleetdaemon/entry.go
@@ -50,7 +50,7 @@
 		Balance:    balance.Config{Name: cfg.Name, Zone: cfg.Zone, VersionBound: cfg.VersionBound, Logger: cfg.Logger},
 		RetryShare: e.RetryShare, RetryFloor: e.RetryFloor, RetryWindow: e.RetryWindow,
 		Tell:        func(updates []quarantine.Update) { client.TellSuspicions(updates) },
-		TellSignals: func(updates []backpressure.News) { client.TellSignals(updates) },
+		TellSignals: func(updates []backpressure.Update) { client.TellSignals(updates) },
 		Turns:       turns,
 		Logger:      cfg.Logger, Metrics: gateway.NewMetrics(registry),
 	})
--- a/internal/follow/client.go
+++ b/internal/follow/client.go
@@ -65,7 +65,7 @@
 	Suspicions func() []quarantine.Update
 	// Signals returns all signals of backend servers known to this daemon, for the same
 	// reason. It may be nil.
-	Signals func() []backpressure.News
+	Signals func() []backpressure.Update
 	// Update processes an update of a control server. Calls for one source are in
 	// order, those for several sources are concurrent.
 	Update func(source string, u *rpc.FleetUpdate)
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -46,7 +46,7 @@
 	// Suspected is called with the suspicions of an update; it may be nil.
 	Suspected func(updates []quarantine.Update)
 	// Signalled is called with the signals of backend servers in an update; it may be nil.
-	Signalled func(updates []backpressure.News)
+	Signalled func(updates []backpressure.Update)
 	// Reported is called with each new report of an agent, Renewed when a server has
 	// announced itself without a change; both may be nil.
 	Reported func(r *rpc.AgentReport)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -81,7 +81,7 @@
 	// Tell sends reports of suspect content to other entries; it may be nil.
 	Tell func([]quarantine.Update)
 	// TellSignals sends the signals of backend servers to other entries; it may be nil.
-	TellSignals func([]backpressure.News)
+	TellSignals func([]backpressure.Update)
 	// Turns grants the turns of suspect content across entries; it may be nil.
 	Turns   Turns
 	Logger  zerolog.Logger
@@ -153,10 +153,10 @@
 func (g *Gateway) Suspicions() []quarantine.Update { return g.suspects.all() }
 
 // LearnSignals adds signals of backend servers that other entries received.
-func (g *Gateway) LearnSignals(updates []backpressure.News) { g.balancer.Learn(clock.Now(), updates) }
+func (g *Gateway) LearnSignals(updates []backpressure.Update) { g.balancer.Learn(clock.Now(), updates) }
 
 // Signals returns the signals of backend servers that are known here.
-func (g *Gateway) Signals() []backpressure.News { return g.balancer.Signals() }
+func (g *Gateway) Signals() []backpressure.Update { return g.balancer.Signals() }
 
 // Ready reports whether the entry should get new connections, and if not, why.
 func (g *Gateway) Ready() (reason string, ok bool) {
