--- a/internal/balance/sizes_load_test.go
+++ b/internal/balance/sizes_load_test.go
@@ -76,7 +76,7 @@
 
 func (a sameForAll) asked(r *sizedRequest) {
 	if !r.retry {
-		a.Asked(r.objective(), r.read)
+		a.Observe(r.objective(), r.read)
 	}
 }
 func (sameForAll) ended(*sizedRequest, bool) {}
@@ -174,7 +174,7 @@
 	p.allow[entry].asked(r)
 	w := p.want(entry, r, 0)
 	pick := p.entries[entry].Pick
-	if r.retry && p.queues[entry].FirstAttempts() {
+	if r.retry && p.queues[entry].HasFirstAttempts() {
 		pick = p.entries[entry].Look
 	}
 	c, room := pick(p.now, w)
@@ -182,14 +182,14 @@
 		p.dispatch(entry, &c, r)
 		return
 	}
-	waits := &waiting.Request{CameBack: r.retry, Since: p.now, By: waiting.Until(p.now, r.objective(), r.retry)}
-	if room.Soonest > w.Budget+waits.By.Sub(p.now) {
+	waits := &waiting.Request{ClientRetry: r.retry, Since: p.now, WaitDeadline: waiting.WaitDeadline(p.now, r.objective(), r.retry)}
+	if room.Soonest > w.Budget+waits.WaitDeadline.Sub(p.now) {
 		p.refuse(entry, r)
 		return
 	}
 	p.queues[entry].Add(waits)
 	p.waiters[waits] = r
-	p.after(waits.By.Sub(p.now), func() {
+	p.after(waits.WaitDeadline.Sub(p.now), func() {
 		if p.queues[entry].Remove(waits) {
 			delete(p.waiters, waits)
 			p.refuse(entry, r)
@@ -200,7 +200,7 @@
 // grantSlots dispatches waiting requests in their order.
 func (p *sizedSimulation) grantSlots(entry int) {
 	misses := 0
-	for _, waits := range p.queues[entry].InOrder(p.now) {
+	for _, waits := range p.queues[entry].Ordered(p.now) {
 		r := p.waiters[waits]
 		c, _ := p.entries[entry].Pick(p.now, p.want(entry, r, p.now.Sub(waits.Since)))
 		if c.Server == nil {
--- a/internal/gateway/allowance.go
+++ b/internal/gateway/allowance.go
@@ -28,7 +28,7 @@
 		q.allowances[service] = a
 	}
 	if !clientRetry {
-		a.Asked(objective, read)
+		a.Observe(objective, read)
 	}
 }
 
--- a/internal/gateway/wait_queue.go
+++ b/internal/gateway/wait_queue.go
@@ -55,7 +55,7 @@
 func (q *waitQueues) isClientRetry(now time.Time, route *fleet.Route, deadline time.Duration) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.deadlines.ComesBack(now, route.Name, deadline, route.Timeout)
+	return q.deadlines.IsClientRetry(now, route.Name, deadline, route.Timeout)
 }
 
 // keepRoutes drops the deadlines and allowances of routes and services that a configuration no longer
@@ -86,7 +86,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	s := q.services[service]
-	return s != nil && s.queue.FirstAttempts()
+	return s != nil && s.queue.HasFirstAttempts()
 }
 
 // wait waits until the request gets a slot, its time to wait is over, or ctx ends; it returns false
@@ -95,7 +95,7 @@
 func (q *waitQueues) wait(ctx context.Context, r *waiting.Request, want balance.Want, availableAt time.Time) (balance.Choice, bool) {
 	w := &waiter{want: want, granted: make(chan balance.Choice, 1)}
 	q.add(r, w, availableAt)
-	timer := time.NewTimer(clock.Until(r.By))
+	timer := time.NewTimer(clock.Until(r.WaitDeadline))
 	defer timer.Stop()
 	select {
 	case choice := <-w.granted:
@@ -164,7 +164,7 @@
 		s.availableAt = time.Time{}
 	}
 	misses := 0
-	for _, r := range s.queue.InOrder(now) {
+	for _, r := range s.queue.Ordered(now) {
 		w := s.waiters[r]
 		want := w.want
 		want.Budget = max(want.Budget-now.Sub(r.Since), minWaitBudget)
@@ -190,8 +190,8 @@
 	if c.attempts > 0 || c.events > 0 || c.engine() == nil || capacity.Fit+capacity.Busy+capacity.Limited+capacity.BackingOff == 0 {
 		return balance.Choice{}, false
 	}
-	r := &waiting.Request{CameBack: c.clientRetry, Since: clock.Now()}
-	r.By = waiting.Until(c.began, c.route.Objective, r.CameBack)
+	r := &waiting.Request{ClientRetry: c.clientRetry, Since: clock.Now()}
+	r.WaitDeadline = waiting.WaitDeadline(c.began, c.route.Objective, r.ClientRetry)
 	if !slotExpected(r, want, capacity) {
 		return balance.Choice{}, false
 	}
@@ -206,11 +206,11 @@
 
 // slotExpected reports whether a slot is expected to become free while the request may wait.
 func slotExpected(r *waiting.Request, want balance.Want, capacity balance.Room) bool {
-	left := r.By.Sub(r.Since)
+	left := r.WaitDeadline.Sub(r.Since)
 	switch {
 	case left <= 0:
 		return false
-	case !capacity.Opens.IsZero() && !capacity.Opens.After(r.By):
+	case !capacity.Opens.IsZero() && !capacity.Opens.After(r.WaitDeadline):
 		return true
 	case capacity.Fit > 0:
 		return capacity.Soonest <= want.Budget+left
--- a/internal/waiting/allowance.go
+++ b/internal/waiting/allowance.go
@@ -26,10 +26,10 @@
 	return &Allowance{objective: float64(objective), read: float64(read)}
 }
 
-// Asked records a first attempt with this objective, whose prompt takes this long to read. Client
+// Observe records a first attempt with this objective, whose prompt takes this long to read. Client
 // retries must not be recorded: requests that are refused most often would count twice. A prompt that
 // takes longer than the objective counts as one that takes the objective.
-func (a *Allowance) Asked(objective, read time.Duration) {
+func (a *Allowance) Observe(objective, read time.Duration) {
 	a.objective += allowanceGain * (float64(objective) - a.objective)
 	a.read += allowanceGain * (float64(min(read, objective)) - a.read)
 }
--- a/internal/waiting/allowance_test.go
+++ b/internal/waiting/allowance_test.go
@@ -13,8 +13,8 @@
 	a := NewAllowance(400*ms, 30*ms)
 	assert.Equal(t, 165*ms, a.Longest(0.6, 45*ms, 20*ms))
 	for range 1000 {
-		a.Asked(400*ms, 10*ms)
-		a.Asked(300*ms, 50*ms)
+		a.Observe(400*ms, 10*ms)
+		a.Observe(300*ms, 50*ms)
 	}
 	assert.InDelta(t, float64(0.6*350*ms-30*ms-45*ms), float64(a.Longest(0.6, 45*ms, 20*ms)), float64(ms))
 }
@@ -26,14 +26,14 @@
 // Also if it is the first prompt.
 func TestHugePromptHardlyChangesAllowance(t *testing.T) {
 	a := NewAllowance(400*ms, 30*ms)
-	a.Asked(400*ms, time.Hour)
+	a.Observe(400*ms, time.Hour)
 	assert.Greater(t, a.Longest(0.6, 45*ms, 20*ms), 155*ms)
 }
 
 func TestAllowanceAdaptsToLongerPrompts(t *testing.T) {
 	a := NewAllowance(400*ms, 30*ms)
 	for range 256 {
-		a.Asked(400*ms, 90*ms)
+		a.Observe(400*ms, 90*ms)
 	}
 	assert.InDelta(t, float64(150*ms), float64(a.Longest(0.6, 0, 0)), float64(2*ms))
 }
--- a/internal/waiting/deadlines.go
+++ b/internal/waiting/deadlines.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// ComesBack reports whether a request with this deadline, on a route with this timeout, is a
+// IsClientRetry reports whether a request with this deadline, on a route with this timeout, is a
 // client retry, and learns the deadline if nobody was refused recently.
-func (d *Deadlines) ComesBack(now time.Time, route string, deadline, timeout time.Duration) bool {
+func (d *Deadlines) IsClientRetry(now time.Time, route string, deadline, timeout time.Duration) bool {
 	s := d.routes[route]
 	if s == nil {
 		s = &sample{}
--- a/internal/waiting/deadlines_test.go
+++ b/internal/waiting/deadlines_test.go
@@ -22,19 +22,19 @@
 	}
 	d := NewDeadlines()
 	for range 200 {
-		assert.False(t, d.ComesBack(start, route, first(), timeout))
+		assert.False(t, d.IsClientRetry(start, route, first(), timeout))
 	}
 	d.Refused(start, time.Second)
 	misjudged := 0
 	for range 1000 {
-		if d.ComesBack(start, route, first(), timeout) {
+		if d.IsClientRetry(start, route, first(), timeout) {
 			misjudged++
 		}
 	}
 	assert.Less(t, misjudged, 80, "of 1000 first attempts")
 	found := 0
 	for range 1000 {
-		if d.ComesBack(start, route, first()-2*time.Second, timeout) {
+		if d.IsClientRetry(start, route, first()-2*time.Second, timeout) {
 			found++
 		}
 	}
@@ -44,43 +44,43 @@
 func TestRetriesAreFoundSoonerWhenDeadlinesAreEqual(t *testing.T) {
 	d := NewDeadlines()
 	for range minSample {
-		d.ComesBack(start, route, timeout-3*time.Millisecond, timeout)
+		d.IsClientRetry(start, route, timeout-3*time.Millisecond, timeout)
 	}
 	d.Refused(start, time.Second)
-	assert.False(t, d.ComesBack(start, route, timeout, timeout))
-	assert.True(t, d.ComesBack(start, route, timeout-200*time.Millisecond, timeout))
+	assert.False(t, d.IsClientRetry(start, route, timeout, timeout))
+	assert.True(t, d.IsClientRetry(start, route, timeout-200*time.Millisecond, timeout))
 }
 
 // After operators raise a timeout, callers with the old one must not count as client retries.
 func TestRaisedRouteTimeoutDoesNotMarkRetries(t *testing.T) {
 	d := NewDeadlines()
 	for range minSample {
-		d.ComesBack(start, route, timeout, timeout)
+		d.IsClientRetry(start, route, timeout, timeout)
 	}
 	d.Refused(start, time.Second)
-	assert.False(t, d.ComesBack(start, route, timeout, 2*timeout))
+	assert.False(t, d.IsClientRetry(start, route, timeout, 2*timeout))
 }
 
 func TestRemovedRoutesAreForgotten(t *testing.T) {
 	d := NewDeadlines()
 	for _, name := range []string{"kept", "gone"} {
 		for range minSample {
-			d.ComesBack(start, name, timeout/2, timeout)
+			d.IsClientRetry(start, name, timeout/2, timeout)
 		}
 	}
 	d.Keep([]string{"kept"})
 	d.Refused(start, time.Second)
-	assert.False(t, d.ComesBack(start, "kept", timeout/2, timeout))
-	assert.True(t, d.ComesBack(start, "gone", timeout/2, timeout), "by the route's timeout")
+	assert.False(t, d.IsClientRetry(start, "kept", timeout/2, timeout))
+	assert.True(t, d.IsClientRetry(start, "gone", timeout/2, timeout), "by the route's timeout")
 }
 
 func TestDeadlinesOfRetriesAreNotLearned(t *testing.T) {
 	d := NewDeadlines()
 	d.Refused(start, time.Second)
 	for range sampleSize {
-		assert.True(t, d.ComesBack(start, route, timeout/2, timeout))
+		assert.True(t, d.IsClientRetry(start, route, timeout/2, timeout))
 	}
-	assert.False(t, d.ComesBack(start, route, timeout, timeout), "by the route's timeout")
+	assert.False(t, d.IsClientRetry(start, route, timeout, timeout), "by the route's timeout")
 	later := start.Add(time.Second + learningPause)
-	assert.False(t, d.ComesBack(later, route, timeout/2, timeout), "nobody was refused recently")
+	assert.False(t, d.IsClientRetry(later, route, timeout/2, timeout), "nobody was refused recently")
 }
--- a/internal/waiting/load_test.go
+++ b/internal/waiting/load_test.go
@@ -92,9 +92,9 @@
 }
 
 func (p *simulation) arrive(now time.Time, kind int, clientRetry bool) {
-	r := &Request{CameBack: clientRetry, Since: now, By: Until(now, p.objectives[kind], clientRetry)}
+	r := &Request{ClientRetry: clientRetry, Since: now, WaitDeadline: WaitDeadline(now, p.objectives[kind], clientRetry)}
 	p.kinds[r] = kind
-	mayTake := p.queue == nil || !clientRetry || !p.queue.FirstAttempts()
+	mayTake := p.queue == nil || !clientRetry || !p.queue.HasFirstAttempts()
 	switch {
 	case p.free > 0 && mayTake:
 		p.begin(now, r)
@@ -102,7 +102,7 @@
 		p.refuse(now, r)
 	default:
 		p.queue.Add(r)
-		p.at(r.By, func(now time.Time) {
+		p.at(r.WaitDeadline, func(now time.Time) {
 			if p.queue.Remove(r) {
 				p.refuse(now, r)
 			}
@@ -112,7 +112,7 @@
 
 func (p *simulation) begin(now time.Time, r *Request) {
 	p.free--
-	if r.CameBack {
+	if r.ClientRetry {
 		p.got[p.kinds[r]].late++
 	} else {
 		p.got[p.kinds[r]].inTime++
@@ -125,7 +125,7 @@
 	if p.queue == nil {
 		return
 	}
-	for _, r := range p.queue.InOrder(now) {
+	for _, r := range p.queue.Ordered(now) {
 		if p.free == 0 {
 			return
 		}
@@ -136,7 +136,7 @@
 
 func (p *simulation) refuse(now time.Time, r *Request) {
 	kind := p.kinds[r]
-	if r.CameBack {
+	if r.ClientRetry {
 		p.got[kind].refused++
 		return
 	}
--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -32,15 +32,15 @@
 type Request struct {
 	// Organisation of the request, empty on routes without organisations.
 	Organisation string
-	// CameBack: it is a client retry, and late in any case.
-	CameBack bool
-	// Since is when it began to wait, By when it is refused.
-	Since, By time.Time
+	// ClientRetry: it is a client retry, and late in any case.
+	ClientRetry bool
+	// Since is when it began to wait, WaitDeadline when it is refused.
+	Since, WaitDeadline time.Time
 }
 
-// Until returns until when a request may wait that arrived at this time and whose first
+// WaitDeadline returns until when a request may wait that arrived at this time and whose first
 // event is due within objective.
-func Until(arrived time.Time, objective time.Duration, clientRetry bool) time.Time {
+func WaitDeadline(arrived time.Time, objective time.Duration, clientRetry bool) time.Time {
 	share := firstAttemptShare
 	if clientRetry {
 		share = clientRetryShare
@@ -84,26 +84,26 @@
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// FirstAttempts reports whether any first attempt is waiting.
-func (q *Queue) FirstAttempts() bool {
-	return slices.ContainsFunc(q.waiting, func(r *Request) bool { return !r.CameBack })
+// HasFirstAttempts reports whether any first attempt is waiting.
+func (q *Queue) HasFirstAttempts() bool {
+	return slices.ContainsFunc(q.waiting, func(r *Request) bool { return !r.ClientRetry })
 }
 
-// InOrder returns the requests that may still wait at this time, the one to get the next
+// Ordered returns the requests that may still wait at this time, the one to get the next
 // slot first: first attempts before client retries; then the organisation whose last grant is
 // oldest, so that one with many requests does not starve others; then the newest request,
 // which is the likeliest to be in time. Ordered by the time left, requests with a short
 // objective would always come after the others.
-func (q *Queue) InOrder(now time.Time) []*Request {
+func (q *Queue) Ordered(now time.Time) []*Request {
 	order := make([]*Request, 0, len(q.waiting))
 	for _, r := range q.waiting {
-		if now.Before(r.By) {
+		if now.Before(r.WaitDeadline) {
 			order = append(order, r)
 		}
 	}
 	slices.SortStableFunc(order, func(a, b *Request) int {
 		return cmp.Or(
-			compareBool(a.CameBack, b.CameBack),
+			compareBool(a.ClientRetry, b.ClientRetry),
 			cmp.Compare(q.granted[a.Organisation], q.granted[b.Organisation]),
 			b.Since.Compare(a.Since),
 		)
