--- a/internal/balance/backoff_load_test.go
+++ b/internal/balance/backoff_load_test.go
@@ -121,7 +121,7 @@
 	if attempts >= backoffMaxAttempts {
 		return
 	}
-	w := Want{Service: service, Exclude: tried}
+	w := Requirements{Service: service, Exclude: tried}
 	c, _ := b.Pick(p.now, w)
 	if c.Server == nil {
 		return
@@ -141,7 +141,7 @@
 			b.BackoffRequested(&c, p.now, backoffLength)
 			c.Server.signals.probing = p.policy.oneAtATime
 		}
-		b.Done(&c, p.now, EndedBusy)
+		b.Done(&c, p.now, ResultBusy)
 		next := attempts + 1
 		if p.policy.honoured {
 			next = attempts
@@ -158,7 +158,7 @@
 	serviceTime := backoffServiceTime * time.Duration(1+ahead/backoffSlots)
 	p.after(time.Duration(float64(serviceTime)*(0.5+p.draw.Float64())), func() {
 		s.running--
-		b.Done(c, p.now, EndedWell)
+		b.Done(c, p.now, ResultSucceeded)
 	})
 }
 
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -91,9 +91,9 @@
 	return &Balancer{cfg: cfg, servers: map[string]*Server{}, services: map[string][]*Server{}, view: &follow.View{}, unseen: map[string]*unseen{}, loadingPhases: map[string]*loadingPhase{}, signals: map[string]*signals{}, publishSignals: func([]backpressure.Update) {}, slotFreed: func() {}}
 }
 
-// OnRoom sets the callback for servers that may have a free slot. Call it before any other
+// OnSlotFreed sets the callback for servers that may have a free slot. Call it before any other
 // goroutine uses the balancer.
-func (b *Balancer) OnRoom(freed func()) { b.slotFreed = freed }
+func (b *Balancer) OnSlotFreed(freed func()) { b.slotFreed = freed }
 
 // SetView applies a new view of the fleet.
 func (b *Balancer) SetView(v *follow.View) {
@@ -122,12 +122,12 @@
 
 func (b *Balancer) setRecord(service string, record *fleet.BackendServer) {
 	s := b.servers[record.ID]
-	if s != nil && s.record.Born != 0 && record.Born > s.record.Born {
-		b.retireIncarnation(s, record.Born)
+	if s != nil && s.record.StartUnixMs != 0 && record.StartUnixMs > s.record.StartUnixMs {
+		b.retireIncarnation(s, record.StartUnixMs)
 		s = nil
 	}
 	if s == nil {
-		sig := b.signalsOf(record.Start(), record.SeenAt)
+		sig := b.signalsOf(record.Incarnation(), record.SeenAt)
 		sig.id = record.ID
 		s = newServer(record, sig)
 		b.servers[record.ID] = s
@@ -162,8 +162,8 @@
 	return named.Add(b.cfg.VersionBound).Sub(now), true
 }
 
-// Heard records that bytes were received from a server.
-func (b *Balancer) Heard(s *Server, now time.Time) {
+// BytesReceived records that bytes were received from a server.
+func (b *Balancer) BytesReceived(s *Server, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s.health.lastByteAt = now
@@ -176,8 +176,8 @@
 	return s.silent(now)
 }
 
-// Told applies a server's report of its load.
-func (b *Balancer) Told(s *Server, now time.Time, running, waiting int) {
+// LoadReported applies a server's report of its load.
+func (b *Balancer) LoadReported(s *Server, now time.Time, running, waiting int) {
 	defer b.slotFreed()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -186,9 +186,9 @@
 
 // Report is a report of the agent beside a backend server.
 type Report struct {
-	// Addr is the server's; Born identifies its incarnation, 0 if not known.
-	Addr string
-	Born int64
+	// Addr is the server's; StartUnixMs identifies its incarnation, 0 if not known.
+	Addr        string
+	StartUnixMs int64
 	// Loading servers accept no new requests.
 	Loading bool
 	Models  []fleet.Loaded
@@ -205,9 +205,9 @@
 		if s.Addr != r.Addr || s.retired || s.record.State == fleet.StateGone || s.replaced() {
 			continue
 		}
-		if born := s.record.Born; born != 0 && r.Born != 0 && r.Born != born {
-			if r.Born > born {
-				b.retireIncarnation(s, r.Born)
+		if born := s.record.StartUnixMs; born != 0 && r.StartUnixMs != 0 && r.StartUnixMs != born {
+			if r.StartUnixMs > born {
+				b.retireIncarnation(s, r.StartUnixMs)
 			}
 			continue
 		}
@@ -227,8 +227,8 @@
 	return s.record.State != fleet.StateReady || !s.signals.leavingAt.IsZero()
 }
 
-// Renewed records the time of a server's announcement.
-func (b *Balancer) Renewed(id string, at time.Time) {
+// Announced records the time of a server's announcement.
+func (b *Balancer) Announced(id string, at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.servers[id]; s != nil && at.After(s.seenAt) {
@@ -247,27 +247,27 @@
 // lag for that long.
 const busyBackoff = 150 * time.Millisecond
 
-// Ending is how an attempt ended, as far as it concerns the server.
-type Ending uint8
+// Result is how an attempt ended, as far as it concerns the server.
+type Result uint8
 
-// The endings.
+// The results.
 const (
-	// EndedWell: the server answered.
-	EndedWell Ending = iota
-	// EndedBusy: it refused the request for lack of a free slot.
-	EndedBusy
-	// EndedFailed: the server or the connection to it failed.
-	EndedFailed
-	// EndedGone: another server has its address.
-	EndedGone
-	// EndedSilent: nothing came from it, neither for this request nor for others.
-	EndedSilent
-	// EndedElse: nothing is known about the server; the caller left, or the deadline passed.
-	EndedElse
+	// ResultSucceeded: the server answered.
+	ResultSucceeded Result = iota
+	// ResultBusy: it refused the request for lack of a free slot.
+	ResultBusy
+	// ResultFailed: the server or the connection to it failed.
+	ResultFailed
+	// ResultReplaced: another server has its address.
+	ResultReplaced
+	// ResultSilent: nothing came from it, neither for this request nor for others.
+	ResultSilent
+	// ResultUnknown: nothing is known about the server; the caller left, or the deadline passed.
+	ResultUnknown
 )
 
 // Done ends an attempt.
-func (b *Balancer) Done(c *Choice, now time.Time, ending Ending) {
+func (b *Balancer) Done(c *Choice, now time.Time, result Result) {
 	defer b.slotFreed()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -276,23 +276,23 @@
 	s.pendingRead -= c.Read
 	c.Read = 0
 	b.endProbe(c)
-	switch ending {
-	case EndedWell:
+	switch result {
+	case ResultSucceeded:
 		if s.health.succeeded() {
 			b.cfg.Logger.Info().Str("server", s.ID).Msg("backend server recovered after its ejection")
 		}
-	case EndedBusy:
+	case ResultBusy:
 		b.learnUnseen(c, now, true)
 		s.busyUntil = now.Add(busyBackoff)
-	case EndedFailed, EndedSilent:
-		if ending == EndedSilent && s.engine != nil {
+	case ResultFailed, ResultSilent:
+		if result == ResultSilent && s.engine != nil {
 			s.excess.raiseTo(now, silentExcess)
 		}
-		if s.health.failed(now) || (ending == EndedSilent && s.health.ejectOnce(now)) {
+		if s.health.failed(now) || (result == ResultSilent && s.health.ejectOnce(now)) {
 			b.cfg.Logger.Warn().Str("server", s.ID).Str("addr", s.Addr).Dur("for", s.health.ejectionTime).
 				Float64("failures", s.health.failures).Msg("backend server set aside")
 		}
-	case EndedGone:
+	case ResultReplaced:
 		b.retire(s)
 	}
 }
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -44,9 +44,9 @@
 	return b
 }
 
-func want() Want { return Want{Service: service, Model: model, Budget: time.Hour} }
+func want() Requirements { return Requirements{Service: service, Model: model, Budget: time.Hour} }
 
-func pick(t *testing.T, b *Balancer, now time.Time, w Want) *Choice {
+func pick(t *testing.T, b *Balancer, now time.Time, w Requirements) *Choice {
 	t.Helper()
 	c, _ := b.Pick(now, w)
 	require.NotNil(t, c.Server)
@@ -57,7 +57,7 @@
 	b := balancer(view(record("1", "here", 1), record("2", "there", 1)))
 	first := pick(t, b, start, want())
 	assert.Equal(t, "1", first.Server.ID)
-	b.Told(first.Server, start, 4, 4)
+	b.LoadReported(first.Server, start, 4, 4)
 	assert.Equal(t, "2", pick(t, b, start, want()).Server.ID)
 }
 
@@ -70,17 +70,17 @@
 	assert.NotEqual(t, first.Server, second.Server, "a long prompt is being read there")
 	short := want()
 	short.Budget, short.Exclude = 300*time.Millisecond, []*Server{second.Server}
-	none, room := b.Pick(start, short)
+	none, availability := b.Pick(start, short)
 	assert.Nil(t, none.Server)
-	assert.Equal(t, Room{Known: 2, Fit: 1, Tried: 1, Soonest: 400 * time.Millisecond}, room)
-	b.Began(first, start)
+	assert.Equal(t, Availability{Known: 2, Fit: 1, Tried: 1, Soonest: 400 * time.Millisecond}, availability)
+	b.FirstEvent(first, start)
 	assert.Equal(t, first.Server, pick(t, b, start, short).Server, "its prompt has been read")
 }
 
 func TestBudgetIncludesWaitForSlot(t *testing.T) {
 	b := balancer(view(record("1", "here", 1)))
 	c := pick(t, b, start, want())
-	b.Told(c.Server, start, 4, 2)
+	b.LoadReported(c.Server, start, 4, 2)
 	w := want()
 	w.Budget = 900 * time.Millisecond // 3 requests before it, 350 ms each
 	none, _ := b.Pick(start, w)
@@ -117,25 +117,25 @@
 	half := record("1", "here", 1)
 	half.Models[0].To = 8
 	b := balancer(view(half))
-	none, room := b.Pick(start, want())
+	none, availability := b.Pick(start, want())
 	assert.Nil(t, none.Server)
-	assert.Equal(t, Room{Known: 1, Empty: 1}, room)
+	assert.Equal(t, Availability{Known: 1, Empty: 1}, availability)
 }
 
 func TestFailingServerIsEjectedAndProbed(t *testing.T) {
 	b := balancer(view(record("1", "here", 1), record("2", "there", 1)))
 	for range 3 {
-		c := pick(t, b, start, Want{Service: service, Model: model, Budget: time.Hour, Exclude: b.services[service][1:]})
+		c := pick(t, b, start, Requirements{Service: service, Model: model, Budget: time.Hour, Exclude: b.services[service][1:]})
 		require.Equal(t, "1", c.Server.ID)
-		b.Done(c, start, EndedFailed)
+		b.Done(c, start, ResultFailed)
 	}
 	assert.Equal(t, "2", pick(t, b, start, want()).Server.ID)
 	later := start.Add(baseEjectionTime)
-	only := Want{Service: service, Model: model, Budget: time.Hour, Exclude: b.services[service][1:]}
+	only := Requirements{Service: service, Model: model, Budget: time.Hour, Exclude: b.services[service][1:]}
 	probe := pick(t, b, later, only)
 	none, _ := b.Pick(later, only)
 	assert.Nil(t, none.Server, "one request at a time until one succeeds")
-	b.Done(probe, later, EndedWell)
+	b.Done(probe, later, ResultSucceeded)
 	pick(t, b, later, only)
 	pick(t, b, later, only)
 }
@@ -145,9 +145,9 @@
 	c := pick(t, b, start, want())
 	assert.False(t, b.Silent(c.Server, start.Add(silentAfter)))
 	assert.True(t, b.Silent(c.Server, start.Add(silentAfter+1)))
-	b.Heard(c.Server, start.Add(time.Second))
+	b.BytesReceived(c.Server, start.Add(time.Second))
 	assert.False(t, b.Silent(c.Server, start.Add(time.Second)))
-	b.Done(c, start.Add(time.Second), EndedSilent)
+	b.Done(c, start.Add(time.Second), ResultSilent)
 	assert.Equal(t, silentExcess, c.Server.excess.now(start.Add(time.Second)), "sent requests may still arrive")
 	none, _ := b.Pick(start.Add(time.Second), want())
 	assert.Nil(t, none.Server)
@@ -155,7 +155,7 @@
 
 func TestServerWithReusedAddressIsRetired(t *testing.T) {
 	b := balancer(view(record("1", "here", 1)))
-	b.Done(pick(t, b, start, want()), start, EndedGone)
+	b.Done(pick(t, b, start, want()), start, ResultReplaced)
 	none, _ := b.Pick(start, want())
 	assert.Nil(t, none.Server)
 	b.SetView(view(record("1", "here", 1)))
@@ -168,7 +168,7 @@
 	w := want()
 	w.Read = time.Second
 	c := pick(t, b, start, w)
-	b.Done(c, start, EndedElse)
+	b.Done(c, start, ResultUnknown)
 	assert.Zero(t, c.Server.inFlight)
 	assert.Zero(t, c.Server.pendingRead)
 }
@@ -178,19 +178,19 @@
 	v.Versions = map[string]ledger.Version{model: ledger.Version{}.Next(2, start)}
 	b := balancer(v)
 	for range 4 {
-		c := pick(t, b, start, Want{Service: service, Model: model, Budget: time.Hour, Exclude: b.services[service][1:]})
-		b.Began(c, start.Add(900*time.Millisecond))
-		b.Done(c, start.Add(900*time.Millisecond), EndedWell)
+		c := pick(t, b, start, Requirements{Service: service, Model: model, Budget: time.Hour, Exclude: b.services[service][1:]})
+		b.FirstEvent(c, start.Add(900*time.Millisecond))
+		b.Done(c, start.Add(900*time.Millisecond), ResultSucceeded)
 	}
 	now := start.Add(900 * time.Millisecond)
 	assert.Equal(t, "2", pick(t, b, now, want()).Server.ID)
-	short := Want{Service: service, Model: model, Budget: 100 * time.Millisecond, Exclude: b.services[service][1:]}
+	short := Requirements{Service: service, Model: model, Budget: 100 * time.Millisecond, Exclude: b.services[service][1:]}
 	none, _ := b.Pick(now, short)
 	assert.Nil(t, none.Server)
 	pick(t, b, now.Add(6*time.Second), short) // it is used again
 	// Attempts arrive late there, so that its old version is excluded earlier.
 	b.servers["1"].excess = excess{value: time.Second, at: start.Add(6 * time.Second)}
-	only := Want{Service: service, Model: model, Budget: time.Hour, Exclude: b.services[service][1:]}
+	only := Requirements{Service: service, Model: model, Budget: time.Hour, Exclude: b.services[service][1:]}
 	none, _ = b.Pick(start.Add(6*time.Second), only)
 	assert.Nil(t, none.Server)
 }
@@ -277,7 +277,7 @@
 	b := named("entry-0", v)
 	own := pick(t, b, start, want())
 	require.True(t, own.Server.owned)
-	b.Told(own.Server, start, 4, 4)
+	b.LoadReported(own.Server, start, 4, 4)
 	other := pick(t, b, start, want())
 	assert.True(t, other.Server.otherOwner)
 }
--- a/internal/balance/fits.go
+++ b/internal/balance/fits.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Room counts why servers of a service were not chosen for a request.
-type Room struct {
+// Availability counts why servers of a service were not chosen for a request.
+type Availability struct {
 	// Known servers of the service, and those that could serve the request but may be full.
 	Known, Fit int
 	// Tried have had an attempt of this request; Aside are ejected, no longer announced, or have lost
@@ -27,42 +27,42 @@
 
 // fits reports whether a server may accept the request now, and its version; if not,
 // it counts the reason.
-func (b *Balancer) fits(now time.Time, s *Server, w Want, room *Room) (uint64, bool) {
+func (b *Balancer) fits(now time.Time, s *Server, w Requirements, availability *Availability) (uint64, bool) {
 	for _, tried := range w.Exclude {
 		if tried == s {
-			room.Tried++
+			availability.Tried++
 			return 0, false
 		}
 	}
-	version, reason := b.usableVersion(now, s, w, room)
+	version, reason := b.usableVersion(now, s, w, availability)
 	switch {
 	case s.retired || s.replaced() || now.Sub(s.seenAt) > lostAfter:
-		room.Aside++
+		availability.Aside++
 	case now.Before(s.health.ejectedUntil), s.health.probing && s.inFlight > 0:
-		room.Aside++
-		room.countLater(reason == nil)
+		availability.Aside++
+		availability.countLater(reason == nil)
 	case !s.signals.acceptsWork(now):
-		room.BackingOff++
-		room.countLater(reason == nil)
+		availability.BackingOff++
+		availability.countLater(reason == nil)
 		if reason == nil && !s.signals.backoff.Over(now) {
-			room.opensAt(s.signals.backoff.Until)
+			availability.opensAt(s.signals.backoff.Until)
 		}
-		room.throttle(s, "backoff", now.Sub(s.signals.backoff.RequestedAt), s.signals.backoff.Until.Sub(now))
+		availability.throttle(s, "backoff", now.Sub(s.signals.backoff.RequestedAt), s.signals.backoff.Until.Sub(now))
 	case now.Before(s.busyUntil):
-		room.Busy++
-		room.countLater(reason == nil)
+		availability.Busy++
+		availability.countLater(reason == nil)
 	case reason != nil:
 		*reason++
-		room.countLater(w.Version != 0 && s.holds(now, w.Model) < w.Version)
+		availability.countLater(w.Version != 0 && s.holds(now, w.Model) < w.Version)
 	default:
 		opens := b.opens(now, s)
 		if !opens.After(now) {
 			return version, true
 		}
-		room.Limited++
-		room.Later++
-		room.opensAt(opens)
-		room.throttle(s, "limit", now.Sub(s.signals.limit.ReceivedAt), opens.Sub(now))
+		availability.Limited++
+		availability.Later++
+		availability.opensAt(opens)
+		availability.throttle(s, "limit", now.Sub(s.signals.limit.ReceivedAt), opens.Sub(now))
 	}
 	return 0, false
 }
@@ -80,20 +80,20 @@
 // maxThrottled bounds the servers that a log line names.
 const maxThrottled = 3
 
-func (r *Room) throttle(s *Server, signal string, age, opens time.Duration) {
+func (r *Availability) throttle(s *Server, signal string, age, opens time.Duration) {
 	if len(r.Throttled) < maxThrottled {
 		r.Throttled = append(r.Throttled, Throttled{Server: s.ID, Signal: signal, AgeMs: age.Milliseconds(), OpensMs: opens.Milliseconds()})
 	}
 }
 
 // opensAt records when a server accepts requests again.
-func (r *Room) opensAt(at time.Time) {
+func (r *Availability) opensAt(at time.Time) {
 	if r.Opens.IsZero() || at.Before(r.Opens) {
 		r.Opens = at
 	}
 }
 
-func (r *Room) countLater(usable bool) {
+func (r *Availability) countLater(usable bool) {
 	if usable {
 		r.Later++
 	}
@@ -101,22 +101,22 @@
 
 // usableVersion returns the version of weights that a server may begin the request on,
 // 0 for plain services, or the counter of the reason why it may not.
-func (b *Balancer) usableVersion(now time.Time, s *Server, w Want, room *Room) (version uint64, reason *int) {
+func (b *Balancer) usableVersion(now time.Time, s *Server, w Requirements, availability *Availability) (version uint64, reason *int) {
 	if w.Model == "" || s.engine == nil {
 		return 0, nil
 	}
 	if s.loading(now) {
-		return 0, &room.Loading
+		return 0, &availability.Loading
 	}
 	version = s.holds(now, w.Model)
 	margin := versionMargin + 2*s.excess.now(now)
 	switch {
 	case version == 0:
-		return 0, &room.Empty
+		return 0, &availability.Empty
 	case w.Version != 0 && version != w.Version:
-		return 0, &room.Other
+		return 0, &availability.Other
 	case version < b.view.Versions[w.Model].Floor(now, b.cfg.VersionBound-margin):
-		return 0, &room.Old
+		return 0, &availability.Old
 	}
 	return version, nil
 }
--- a/internal/balance/incarnations.go
+++ b/internal/balance/incarnations.go
@@ -7,7 +7,7 @@
 )
 
 // Of several incarnations of backend servers that announce one address, of whatever services, at
-// most one exists. Their lifetimes (fleet.Life) show which one; where these are inconclusive or wrong,
+// most one exists. Their lifetimes (fleet.Lifetime) show which one; where these are inconclusive or wrong,
 // the server itself answers a request for another incarnation with its own, and the one that was
 // asked for is retired here for good.
 
@@ -40,15 +40,15 @@
 // it, too.
 func (s *Server) replaced() bool {
 	for _, o := range s.sameAddress {
-		if !o.retired && s.incarnation().EndedBefore(o.incarnation()) {
+		if !o.retired && s.lifetime().SupersededBy(o.lifetime()) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Server) incarnation() fleet.Life {
-	return fleet.Life{StartedAt: s.record.StartedAt, SeenAt: s.seenAt}
+func (s *Server) lifetime() fleet.Lifetime {
+	return fleet.Lifetime{StartedAt: s.record.StartedAt, SeenAt: s.seenAt}
 }
 
 // retire removes a server whose address another server has claimed in an answer.
@@ -68,7 +68,7 @@
 	if s.ctx.Err() != nil {
 		return
 	}
-	b.cfg.Logger.Warn().Str("server", s.ID).Str("addr", s.Addr).Int64("born", s.record.Born).Int64("later", born).
+	b.cfg.Logger.Warn().Str("server", s.ID).Str("addr", s.Addr).Int64("born", s.record.StartUnixMs).Int64("later", born).
 		Int("requests", s.inFlight).Msg("backend server restarted")
 	s.cancelCtx()
 	b.remove(s)
--- a/internal/balance/incarnations_test.go
+++ b/internal/balance/incarnations_test.go
@@ -26,7 +26,7 @@
 	for range 20 {
 		assert.Equal(t, "2", pick(t, b, start, want()).Server.ID)
 	}
-	b.Renewed("1", start.Add(time.Second)) // a delayed announcement
+	b.Announced("1", start.Add(time.Second)) // a delayed announcement
 	for range 20 {
 		assert.Equal(t, "2", pick(t, b, start.Add(time.Second), want()).Server.ID, "a late announcement does not restore a crashed incarnation")
 	}
@@ -83,7 +83,7 @@
 	b := balancer(view(crashed, current))
 	c := pick(t, b, start, want())
 	require.Equal(t, "1", c.Server.ID)
-	b.Done(c, start, EndedGone) // the server answers with its identity
+	b.Done(c, start, ResultReplaced) // the server answers with its identity
 	for range 20 {
 		assert.Equal(t, "2", pick(t, b, start, want()).Server.ID)
 	}
@@ -95,14 +95,14 @@
 	crashed, current := atOneAddress()
 	crashed.StartedAt, current.StartedAt = current.StartedAt, crashed.StartedAt
 	b := balancer(view(crashed, current))
-	b.Renewed("2", crashed.SeenAt.Add(5*time.Second))
+	b.Announced("2", crashed.SeenAt.Add(5*time.Second))
 	assert.Equal(t, "1", pick(t, b, start, want()).Server.ID)
-	b.Renewed("2", crashed.SeenAt.Add(6*time.Second))
+	b.Announced("2", crashed.SeenAt.Add(6*time.Second))
 	chosen := map[string]bool{}
 	for range 40 {
 		c := pick(t, b, start, want())
 		chosen[c.Server.ID] = true
-		b.Done(c, start, EndedElse)
+		b.Done(c, start, ResultUnknown)
 	}
 	assert.True(t, chosen["2"], "it is still announced, the other is not")
 }
@@ -111,6 +111,6 @@
 	former, current := atOneAddress()
 	former.StartedAt = current.StartedAt.Add(-time.Second)
 	b := balancer(view(former, current))
-	_, room := b.Pick(start, want())
-	assert.Equal(t, 2, room.Fit)
+	_, availability := b.Pick(start, want())
+	assert.Equal(t, 2, availability.Fit)
 }
--- a/internal/balance/limit.go
+++ b/internal/balance/limit.go
@@ -7,11 +7,11 @@
 )
 
 // LimitSignalled applies what the headers of an answer say about the server's limit.
-func (b *Balancer) LimitSignalled(c *Choice, now time.Time, statement backpressure.LimitSignal) {
+func (b *Balancer) LimitSignalled(c *Choice, now time.Time, signal backpressure.LimitSignal) {
 	b.mu.Lock()
 	s := c.Server
 	before := s.signals.limit
-	if !s.signals.limit.ApplyAnswer(now, c.pickedAt, statement) {
+	if !s.signals.limit.ApplyAnswer(now, c.pickedAt, signal) {
 		b.mu.Unlock()
 		return
 	}
--- a/internal/balance/load_test.go
+++ b/internal/balance/load_test.go
@@ -241,13 +241,13 @@
 
 // write simulates the events of a request, the first one now.
 func (p *loadSimulation) write(e *loadEngine, b *Balancer, c *Choice) {
-	b.Began(c, p.now)
+	b.FirstEvent(c, p.now)
 	p.after(time.Duration((0.5+p.draw.Float64())*float64(loadServiceTime-loadRead-loadPass)), func() { p.end(e, b, c) })
 }
 
 func (p *loadSimulation) end(e *loadEngine, b *Balancer, c *Choice) {
 	e.running--
-	b.Done(c, p.now, EndedWell)
+	b.Done(c, p.now, ResultSucceeded)
 	if len(e.waiting) > 0 {
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Want is what an attempt requires of its server.
-type Want struct {
+// Requirements is what an attempt requires of its server.
+type Requirements struct {
 	Service string
 	// Model and its layers, empty for plain services.
 	Model string
@@ -44,10 +44,10 @@
 	otherOwner bool
 	// probe: after a backoff it is the only request there until the server has accepted it.
 	probe bool
-	// Told is the age of the server's load report, -1 if there is none.
-	Told time.Duration
-	// Own: this entry owns the server; InFlight counts its own requests there.
-	Own      bool
+	// ReportAge is the age of the server's load report, -1 if there is none.
+	ReportAge time.Duration
+	// Owned: this entry owns the server; InFlight counts its own requests there.
+	Owned    bool
 	InFlight int
 	// Unseen is the estimate of unreported requests of other entries there.
 	Unseen float64
@@ -58,10 +58,10 @@
 
 // Pick chooses the server with the lowest predicted wait, load and cost, and counts
 // the request as in flight there until Done.
-func (b *Balancer) Pick(now time.Time, w Want) (Choice, Room) {
+func (b *Balancer) Pick(now time.Time, w Requirements) (Choice, Availability) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	best, room := b.choose(now, w)
+	best, availability := b.choose(now, w)
 	if best.Server != nil {
 		s := best.Server
 		if s.inFlight == 0 {
@@ -71,22 +71,22 @@
 		s.pendingRead += best.Read
 		best.probe = s.signals.dispatched(now)
 	}
-	return best, room
+	return best, availability
 }
 
-// Look evaluates the servers for a request without choosing one.
-func (b *Balancer) Look(now time.Time, w Want) (Choice, Room) {
+// Evaluate counts why servers cannot be chosen for a request, without choosing one.
+func (b *Balancer) Evaluate(now time.Time, w Requirements) (Choice, Availability) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_, room := b.choose(now, w)
-	return Choice{}, room
+	_, availability := b.choose(now, w)
+	return Choice{}, availability
 }
 
 // choose returns the best server, and why the others were not chosen.
-func (b *Balancer) choose(now time.Time, w Want) (Choice, Room) {
+func (b *Balancer) choose(now time.Time, w Requirements) (Choice, Availability) {
 	var best Choice
 	bestScore := time.Duration(math.MaxInt64)
-	room := Room{}
+	availability := Availability{}
 	others := 0
 	for _, s := range b.candidates(w.Service) {
 		if !s.owned {
@@ -94,18 +94,18 @@
 				break
 			}
 		}
-		room.Known++
-		version, fits := b.fits(now, s, w, &room)
+		availability.Known++
+		version, fits := b.fits(now, s, w, &availability)
 		if !fits {
 			continue
 		}
-		room.Fit++
+		availability.Fit++
 		queue := s.queueLength(now, b.view.EntryCount())
 		slots := s.slots()
 		unseen := b.unseenAt(s, now)
 		wait := s.predictWait(now, queue+unseen, b.otherSenders(s))
-		if room.Fit == 1 || wait < room.Soonest {
-			room.Soonest = wait
+		if availability.Fit == 1 || wait < availability.Soonest {
+			availability.Soonest = wait
 		}
 		if s.pendingRead > 0 && b.otherSenders(s) >= 1 {
 			continue // others may be sending to it now: one unread prompt per entry at a time
@@ -119,13 +119,13 @@
 		score := b.score(now, s, queue, wait)
 		if score < bestScore {
 			bestScore = score
-			best = Choice{Server: s, Version: version, Queue: queue, Slots: slots, Wait: wait, Read: w.Read, Told: -1, pickedAt: now, Own: s.owned, InFlight: s.inFlight, Unseen: unseen, due: w.Due, otherOwner: s.otherOwner, Signal: s.signals.strongest(now)}
+			best = Choice{Server: s, Version: version, Queue: queue, Slots: slots, Wait: wait, Read: w.Read, ReportAge: -1, pickedAt: now, Owned: s.owned, InFlight: s.inFlight, Unseen: unseen, due: w.Due, otherOwner: s.otherOwner, Signal: s.signals.strongest(now)}
 			if s.load.known {
-				best.Told = now.Sub(s.load.at)
+				best.ReportAge = now.Sub(s.load.at)
 			}
 		}
 	}
-	return best, room
+	return best, availability
 }
 
 // candidates returns the servers of a service: those that this entry owns first, then the
--- a/internal/balance/predict.go
+++ b/internal/balance/predict.go
@@ -26,13 +26,13 @@
 		return 0
 	}
 	over := max(0, queue-float64(s.slots())+1)
-	usual := s.engine.ReadTime(s.engine.UsualPrompt)
+	usual := s.engine.PrefillTime(s.engine.UsualPrompt)
 	reading := s.pendingRead + time.Duration(others*float64(s.pendingRead+usual))
-	return reading + time.Duration(over*float64(s.engine.PerRequest())) + s.excess.now(now)
+	return reading + time.Duration(over*float64(s.engine.RequestTime())) + s.excess.now(now)
 }
 
-// Began records that an event of a request was received: its prompt has been read.
-func (b *Balancer) Began(c *Choice, now time.Time) {
+// FirstEvent records that an event of a request was received: its prompt has been read.
+func (b *Balancer) FirstEvent(c *Choice, now time.Time) {
 	if c.begun {
 		return
 	}
@@ -41,7 +41,7 @@
 	defer b.mu.Unlock()
 	c.begun = true
 	if s := c.Server; s.engine != nil {
-		s.excess.observe(now, now.Sub(c.pickedAt)-c.Wait-c.Read-s.engine.Pass())
+		s.excess.observe(now, now.Sub(c.pickedAt)-c.Wait-c.Read-s.engine.PassTime())
 		b.learnUnseen(c, now, now.After(c.due))
 	}
 	c.Server.pendingRead -= c.Read
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -12,15 +12,15 @@
 // bornAt returns a record of an incarnation under one id.
 func bornAt(born int64, version uint64) *fleet.BackendServer {
 	r := record("1", "here", version)
-	r.Born = born
+	r.StartUnixMs = born
 	return r
 }
 
 func TestNewIncarnationKeepsNoState(t *testing.T) {
 	b := balancer(view(bornAt(1000, 1)))
 	former := pick(t, b, start, want())
-	b.Reported(start, Report{Addr: former.Server.Addr, Born: 1000, Models: []fleet.Loaded{{Model: model, Version: 2, To: 16}}, Running: 3})
-	b.Done(former, start, EndedFailed)
+	b.Reported(start, Report{Addr: former.Server.Addr, StartUnixMs: 1000, Models: []fleet.Loaded{{Model: model, Version: 2, To: 16}}, Running: 3})
+	b.Done(former, start, ResultFailed)
 
 	b.SetView(view(bornAt(2000, 1)))
 	assert.Error(t, former.Server.Context().Err(), "requests at the former incarnation are cancelled")
@@ -31,16 +31,16 @@
 	assert.False(t, later.Server.load.known)
 	assert.NoError(t, later.Server.Context().Err())
 
-	b.Reported(start, Report{Addr: later.Server.Addr, Born: 1000, Loading: true, Running: 4})
+	b.Reported(start, Report{Addr: later.Server.Addr, StartUnixMs: 1000, Loading: true, Running: 4})
 	assert.False(t, later.Server.load.known, "a late report of the former incarnation")
-	b.Done(former, start, EndedElse)
+	b.Done(former, start, ResultUnknown)
 	assert.Equal(t, 1, later.Server.inFlight)
 }
 
 func TestReportOfLaterIncarnationRetiresFormer(t *testing.T) {
 	b := balancer(view(bornAt(1000, 1)))
 	former := pick(t, b, start, want())
-	b.Reported(start, Report{Addr: former.Server.Addr, Born: 2000, Models: []fleet.Loaded{{Model: model, Version: 1, To: 16}}})
+	b.Reported(start, Report{Addr: former.Server.Addr, StartUnixMs: 2000, Models: []fleet.Loaded{{Model: model, Version: 1, To: 16}}})
 	assert.Error(t, former.Server.Context().Err())
 	none, _ := b.Pick(start, want())
 	assert.Nil(t, none.Server, "its own announcement has not arrived yet")
--- a/internal/balance/server.go
+++ b/internal/balance/server.go
@@ -18,9 +18,9 @@
 type Server struct {
 	ID   string
 	Addr string
-	// Start identifies this incarnation of the server, which may restart under its id.
-	Start string
-	Pool  *dispatch.Pool
+	// Incarnation identifies this incarnation of the server, which may restart under its id.
+	Incarnation string
+	Pool        *dispatch.Pool
 
 	// ctx is cancelled when a later incarnation under the same id is known: requests in flight
 	// at this one are lost.
@@ -55,7 +55,7 @@
 }
 
 func newServer(record *fleet.BackendServer, sig *signals) *Server {
-	s := &Server{ID: record.ID, Addr: record.Addr, Start: record.Start(), Pool: dispatch.NewPool(record.Addr), record: record, signals: sig}
+	s := &Server{ID: record.ID, Addr: record.Addr, Incarnation: record.Incarnation(), Pool: dispatch.NewPool(record.Addr), record: record, signals: sig}
 	s.ctx, s.cancelCtx = context.WithCancel(context.Background())
 	return s
 }
--- a/internal/balance/signals_test.go
+++ b/internal/balance/signals_test.go
@@ -23,9 +23,9 @@
 
 func TestLimitedServerIsChosenWhenLimitAllows(t *testing.T) {
 	b := limitedServer(t)
-	none, room := b.Pick(start, want())
+	none, availability := b.Pick(start, want())
 	assert.Nil(t, none.Server)
-	assert.Equal(t, Room{Known: 1, Limited: 1, Later: 1, Opens: start.Add(2 * time.Second), Throttled: []Throttled{{"1", "limit", 0, 2000}}}, room, "two entries share the limit")
+	assert.Equal(t, Availability{Known: 1, Limited: 1, Later: 1, Opens: start.Add(2 * time.Second), Throttled: []Throttled{{"1", "limit", 0, 2000}}}, availability, "two entries share the limit")
 	assert.Equal(t, "limit", pick(t, b, start.Add(2*time.Second), want()).Signal)
 }
 
@@ -40,7 +40,7 @@
 
 func TestNewIncarnationHasNoLimit(t *testing.T) {
 	first, again := record("1", "here", 1), record("1", "here", 1)
-	first.Born, again.Born = 1, 2
+	first.StartUnixMs, again.StartUnixMs = 1, 2
 	b := balancer(view(first))
 	b.LimitSignalled(pick(t, b, start, want()), start, oneASecond)
 	b.SetView(view(again))
@@ -63,11 +63,11 @@
 
 func TestLimitAndItsEndArePublished(t *testing.T) {
 	b, other := balancer(view(record("1", "here", 1))), named("other", view(record("1", "here", 1)))
-	b.OnSignals(func(updates []backpressure.Update) { other.Learn(start, updates) })
+	b.OnSignals(func(updates []backpressure.Update) { other.ApplyUpdates(start, updates) })
 	b.LimitSignalled(pick(t, b, start, want()), start, oneASecond)
-	none, room := other.Pick(start, want())
+	none, availability := other.Pick(start, want())
 	assert.Nil(t, none.Server)
-	assert.Equal(t, 1, room.Limited)
+	assert.Equal(t, 1, availability.Limited)
 	later := start.Add(2 * time.Second)
 	b.LimitSignalled(pick(t, b, later, want()), later.Add(time.Millisecond), backpressure.LimitSignal{})
 	pick(t, other, later, want())
@@ -94,10 +94,10 @@
 	b := balancer(view(record("1", "here", 1)))
 	first := pick(t, b, start, want())
 	b.BackoffRequested(first, start, 3*time.Second)
-	b.Done(first, start, EndedBusy)
-	none, room := b.Pick(start.Add(2900*time.Millisecond), want())
+	b.Done(first, start, ResultBusy)
+	none, availability := b.Pick(start.Add(2900*time.Millisecond), want())
 	assert.Nil(t, none.Server)
-	assert.Equal(t, Room{Known: 1, BackingOff: 1, Later: 1, Opens: start.Add(3 * time.Second), Throttled: []Throttled{{"1", "backoff", 2900, 100}}}, room)
+	assert.Equal(t, Availability{Known: 1, BackingOff: 1, Later: 1, Opens: start.Add(3 * time.Second), Throttled: []Throttled{{"1", "backoff", 2900, 100}}}, availability)
 }
 
 func TestServerIsProbedAfterBackoff(t *testing.T) {
@@ -105,14 +105,14 @@
 	before := pick(t, b, start, want())
 	refused := pick(t, b, start, want())
 	b.BackoffRequested(refused, start.Add(time.Millisecond), time.Second)
-	b.Done(refused, start.Add(time.Millisecond), EndedBusy)
+	b.Done(refused, start.Add(time.Millisecond), ResultBusy)
 	b.AcceptedWork(before) // it was sent before the backoff
 	after := start.Add(2 * time.Second)
 	probe := pick(t, b, after, want())
-	none, room := b.Pick(after, want())
+	none, availability := b.Pick(after, want())
 	require.Nil(t, none.Server)
-	assert.Equal(t, Room{Known: 1, BackingOff: 1, Later: 1, Throttled: []Throttled{{"1", "backoff", 1999, -999}}}, room)
-	b.Done(probe, after, EndedElse)
+	assert.Equal(t, Availability{Known: 1, BackingOff: 1, Later: 1, Throttled: []Throttled{{"1", "backoff", 1999, -999}}}, availability)
+	b.Done(probe, after, ResultUnknown)
 	probe = pick(t, b, after, want())
 	b.AcceptedWork(probe)
 	pick(t, b, after, want())
@@ -121,9 +121,9 @@
 
 func TestLeavingIncarnationIsNotChosenAgain(t *testing.T) {
 	first := record("1", "here", 1)
-	first.Born = 1
+	first.StartUnixMs = 1
 	b, other := balancer(view(first)), named("other", view(first))
-	b.OnSignals(func(updates []backpressure.Update) { other.Learn(start, updates) })
+	b.OnSignals(func(updates []backpressure.Update) { other.ApplyUpdates(start, updates) })
 	b.LeavingSignalled(pick(t, b, start, want()), start)
 	later := *first
 	later.Seq, later.SeenAt = 9, start.Add(time.Second)
@@ -136,7 +136,7 @@
 		none, _ = x.Pick(start, want())
 		assert.Nil(t, none.Server, "%s, after a gap in the directory", name)
 		again := later
-		again.Born = 2
+		again.StartUnixMs = 2
 		x.SetView(view(&again))
 		pick(t, x, start, want())
 	}
--- a/internal/balance/sizes_load_test.go
+++ b/internal/balance/sizes_load_test.go
@@ -129,7 +129,7 @@
 	for i, b := range p.entries {
 		p.allow = append(p.allow, way())
 		p.queues = append(p.queues, waiting.New())
-		b.OnRoom(func() { p.grantSlots(i) })
+		b.OnSlotFreed(func() { p.grantSlots(i) })
 	}
 	for kind := range sizedObjectives {
 		for band := range sizedBounds {
@@ -161,7 +161,7 @@
 	})
 }
 
-func (p *sizedSimulation) want(entry int, r *sizedRequest, waited time.Duration) Want {
+func (p *sizedSimulation) want(entry int, r *sizedRequest, waited time.Duration) Requirements {
 	w := want()
 	w.Read, w.Budget = r.read, max(p.allow[entry].longest(r)-waited, sizedMinWait)
 	if !r.retry {
@@ -175,15 +175,15 @@
 	w := p.want(entry, r, 0)
 	pick := p.entries[entry].Pick
 	if r.retry && p.queues[entry].HasFirstAttempts() {
-		pick = p.entries[entry].Look
+		pick = p.entries[entry].Evaluate
 	}
-	c, room := pick(p.now, w)
+	c, availability := pick(p.now, w)
 	if c.Server != nil {
 		p.dispatch(entry, &c, r)
 		return
 	}
 	waits := &waiting.Request{ClientRetry: r.retry, Since: p.now, WaitDeadline: waiting.WaitDeadline(p.now, r.objective(), r.retry)}
-	if room.Soonest > w.Budget+waits.WaitDeadline.Sub(p.now) {
+	if availability.Soonest > w.Budget+waits.WaitDeadline.Sub(p.now) {
 		p.refuse(entry, r)
 		return
 	}
--- a/internal/balance/news.go
+++ b/internal/balance/updates.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// Learn applies the updates of other entries.
-func (b *Balancer) Learn(now time.Time, updates []backpressure.Update) {
+// ApplyUpdates applies the updates of other entries.
+func (b *Balancer) ApplyUpdates(now time.Time, updates []backpressure.Update) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, n := range updates {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -2,8 +2,8 @@
 // server announces itself to some control server, and control servers forward the
 // announcements, late and out of order. State: the newest announcement by server.
 // Merging is idempotent and commutative, so the result does not depend on order or
-// repetition. Incarnations with one id are distinguished by Born: the later one
-// replaces the earlier one, whose announcements no longer count. A leave without Born
+// repetition. Incarnations with one id are distinguished by StartUnixMs: the later one
+// replaces the earlier one, whose announcements no longer count. A leave without StartUnixMs
 // applies to the incarnation known here.
 package directory
 
@@ -57,13 +57,13 @@
 		d.servers[b.ID] = &b
 		return Changed
 	}
-	if b.Born != 0 && b.Born < known.Born {
+	if b.StartUnixMs != 0 && b.StartUnixMs < known.StartUnixMs {
 		return Unchanged // an earlier incarnation
 	}
-	if known.Born != 0 && b.Born > known.Born {
+	if known.StartUnixMs != 0 && b.StartUnixMs > known.StartUnixMs {
 		return d.replace(known, b)
 	}
-	b.Born = max(b.Born, known.Born)
+	b.StartUnixMs = max(b.StartUnixMs, known.StartUnixMs)
 	known = d.lowerStart(known, b.StartedAt)
 	b.StartedAt = known.StartedAt
 	if b.State < known.State {
@@ -125,15 +125,15 @@
 func recordOfLeave(known *fleet.BackendServer, b fleet.BackendServer) fleet.BackendServer {
 	next := *known
 	next.State = fleet.StateGone
-	next.SeenAt, next.Born = b.SeenAt, b.Born
+	next.SeenAt, next.StartUnixMs = b.SeenAt, b.StartUnixMs
 	return next
 }
 
 // Renew records the receipt of an announcement with this sequence number that changes
-// nothing else. born is of the incarnation that sent it, 0 if it is not known.
+// nothing else. born is the start time of the incarnation that sent it, 0 if it is not known.
 func (d *Directory) Renew(id string, born int64, seq uint64, at time.Time) Change {
 	known, ok := d.servers[id]
-	if !ok || seq <= known.Seq || born != 0 && known.Born != 0 && born != known.Born {
+	if !ok || seq <= known.Seq || born != 0 && known.StartUnixMs != 0 && born != known.StartUnixMs {
 		return Unchanged
 	}
 	next := *d.lowerStart(known, d.estimateStart(seq, at))
@@ -160,11 +160,11 @@
 // Get returns a server's record, nil if it is not known. The caller must not change it.
 func (d *Directory) Get(id string) *fleet.BackendServer { return d.servers[id] }
 
-// Replaced reports whether a later incarnation, under another id, has taken over a
+// AddressTakenOver reports whether a later incarnation, under another id, has taken over a
 // server's address.
-func (d *Directory) Replaced(b *fleet.BackendServer) bool {
+func (d *Directory) AddressTakenOver(b *fleet.BackendServer) bool {
 	for _, other := range d.servers {
-		if other.ID != b.ID && other.Addr == b.Addr && b.Life().EndedBefore(other.Life()) {
+		if other.ID != b.ID && other.Addr == b.Addr && b.Life().SupersededBy(other.Life()) {
 			return true
 		}
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -57,20 +57,20 @@
 		"left meanwhile": merged(announced("old", 40, 100), announced("new", 1, 110), fleet.BackendServer{ID: "new", State: fleet.StateGone, SeenAt: time.Unix(112, 0)}, announced("old", 41, 113)),
 	} {
 		older, newer := d.Get("old").Life(), d.Get("new").Life()
-		assert.True(t, older.EndedBefore(newer), name)
-		assert.False(t, newer.EndedBefore(older), name)
+		assert.True(t, older.SupersededBy(newer), name)
+		assert.False(t, newer.SupersededBy(older), name)
 	}
 }
 
 func TestIncarnationThatKeepsAnnouncingHasNotEnded(t *testing.T) {
 	// All announcements of the dead incarnation were delayed, so it seems to be the later one.
 	d := merged(announced("alive", 20, 120), announced("dead", 1, 120))
-	assert.True(t, d.Get("alive").Life().EndedBefore(d.Get("dead").Life()))
+	assert.True(t, d.Get("alive").Life().SupersededBy(d.Get("dead").Life()))
 	d.Renew("alive", 0, 24, time.Unix(124, 0))
-	assert.True(t, d.Get("alive").Life().EndedBefore(d.Get("dead").Life()), "one announcement may be late")
+	assert.True(t, d.Get("alive").Life().SupersededBy(d.Get("dead").Life()), "one announcement may be late")
 	d.Renew("alive", 0, 26, time.Unix(126, 0))
-	assert.False(t, d.Get("alive").Life().EndedBefore(d.Get("dead").Life()))
-	assert.False(t, d.Get("dead").Life().EndedBefore(d.Get("alive").Life()))
+	assert.False(t, d.Get("alive").Life().SupersededBy(d.Get("dead").Life()))
+	assert.False(t, d.Get("dead").Life().SupersededBy(d.Get("alive").Life()))
 }
 
 func TestIncarnationsWithoutIntervalAreOrderedByFirstAnnouncement(t *testing.T) {
@@ -78,7 +78,7 @@
 	d.Merge(announced("old", 40, 100))
 	d.Merge(announced("new", 1, 110))
 	d.Merge(announced("old", 41, 113))
-	assert.True(t, d.Get("old").Life().EndedBefore(d.Get("new").Life()))
+	assert.True(t, d.Get("old").Life().SupersededBy(d.Get("new").Life()))
 	assert.Equal(t, time.Unix(100, 0), d.Get("old").StartedAt)
 	huge := New(time.Second)
 	huge.Merge(announced("old", 1<<63, 100))
--- a/internal/directory/starts_test.go
+++ b/internal/directory/starts_test.go
@@ -11,10 +11,10 @@
 	"lynxgate.dev/lynxgate/internal/fleet"
 )
 
-// incarnation returns an announcement of the incarnation of server a with this Born.
+// incarnation returns an announcement of the incarnation of server a with this StartUnixMs.
 func incarnation(at int64, seq uint64, state fleet.State) fleet.BackendServer {
 	b := announced("a", seq, 100+int64(seq))
-	b.Born, b.State = at, state
+	b.StartUnixMs, b.State = at, state
 	return b
 }
 
@@ -34,11 +34,11 @@
 		assert.Equal(t, time.Unix(100, 0), got.StartedAt, "start of the later incarnation")
 
 		assert.Equal(t, Unchanged, d.Merge(incarnation(1000, 41, fleet.StateReady)), "a late announcement")
-		assert.Equal(t, Unchanged, d.Merge(fleet.BackendServer{ID: "a", Born: 1000, State: fleet.StateGone}), "a late leave")
+		assert.Equal(t, Unchanged, d.Merge(fleet.BackendServer{ID: "a", StartUnixMs: 1000, State: fleet.StateGone}), "a late leave")
 		assert.Equal(t, Unchanged, d.Renew("a", 1000, 60, time.Unix(200, 0)), "forwarded by another control server")
 		assert.Equal(t, fleet.StateReady, d.Get("a").State)
 		assert.Equal(t, Renewed, d.Renew("a", 2000, 2, time.Unix(102, 0)))
-		assert.Equal(t, Changed, d.Merge(fleet.BackendServer{ID: "a", Born: 2000, State: fleet.StateGone}))
+		assert.Equal(t, Changed, d.Merge(fleet.BackendServer{ID: "a", StartUnixMs: 2000, State: fleet.StateGone}))
 		assert.Equal(t, "127.0.0.1:1", d.Get("a").Addr)
 	}
 }
@@ -47,7 +47,7 @@
 	d := New(time.Second)
 	d.Merge(incarnation(1000, 40, fleet.StateReady))
 	assert.Equal(t, Changed, d.Merge(fleet.BackendServer{ID: "a", State: fleet.StateGone}))
-	assert.EqualValues(t, 1000, d.Get("a").Born)
+	assert.EqualValues(t, 1000, d.Get("a").StartUnixMs)
 	assert.Equal(t, Unchanged, d.Merge(incarnation(1000, 41, fleet.StateReady)))
 	assert.Equal(t, Changed, d.Merge(incarnation(2000, 1, fleet.StateReady)))
 }
@@ -55,7 +55,7 @@
 func TestLeaveOfLaterIncarnationReplacesEarlierOne(t *testing.T) {
 	d := New(time.Second)
 	d.Merge(incarnation(1000, 40, fleet.StateReady))
-	assert.Equal(t, Changed, d.Merge(fleet.BackendServer{ID: "a", Born: 2000, State: fleet.StateGone}))
+	assert.Equal(t, Changed, d.Merge(fleet.BackendServer{ID: "a", StartUnixMs: 2000, State: fleet.StateGone}))
 	assert.Equal(t, fleet.StateGone, d.Get("a").State)
 	assert.Equal(t, Unchanged, d.Merge(incarnation(1000, 41, fleet.StateReady)))
 }
@@ -69,7 +69,7 @@
 		})
 		all := rapid.SliceOfN(one, 1, 8).Draw(t, "announcements")
 		first, second := merged(all...), merged(append(rapid.Permutation(all).Draw(t, "order"), all...)...)
-		assert.Equal(t, first.Get("a").Born, second.Get("a").Born)
+		assert.Equal(t, first.Get("a").StartUnixMs, second.Get("a").StartUnixMs)
 		assert.Equal(t, first.Get("a").Seq, second.Get("a").Seq)
 	})
 }
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -108,27 +108,27 @@
 	Models     []string
 }
 
-// ReadTime returns how long the engine takes to prefill a prompt of this many tokens.
-func (e *Engine) ReadTime(tokens int) time.Duration {
+// PrefillTime returns how long the engine takes to prefill a prompt of this many tokens.
+func (e *Engine) PrefillTime(tokens int) time.Duration {
 	if e.ReadPerSecond <= 0 {
 		return 0
 	}
 	return time.Duration(float64(tokens) / e.ReadPerSecond * float64(time.Second))
 }
 
-// Pass returns the duration of one pass while all slots decode. A new request
+// PassTime returns the duration of one pass while all slots decode. A new request
 // waits for the pass in progress.
-func (e *Engine) Pass() time.Duration {
+func (e *Engine) PassTime() time.Duration {
 	return time.Duration(max(e.Stride, 1)) * (e.Step + time.Duration(e.Slots)*e.PerSequence)
 }
 
-// PerRequest returns the engine time that a usual request takes while all slots
+// RequestTime returns the engine time that a usual request takes while all slots
 // are in use: its prompt is prefilled alone, its answer decoded together with the
 // others.
-func (e *Engine) PerRequest() time.Duration {
+func (e *Engine) RequestTime() time.Duration {
 	step := e.Step + time.Duration(e.Slots)*e.PerSequence
 	decoding := time.Duration(e.UsualAnswer) * step / time.Duration(max(e.Slots, 1))
-	return max(e.ReadTime(e.UsualPrompt)+decoding, time.Millisecond)
+	return max(e.PrefillTime(e.UsualPrompt)+decoding, time.Millisecond)
 }
 
 // Origin is the server from which the weights are fetched.
--- a/internal/fleet/life.go
+++ b/internal/fleet/lifetime.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Life is the observed lifetime of one incarnation of a backend server. It decides
+// Lifetime is the observed lifetime of one incarnation of a backend server. It decides
 // which of two incarnations that announced the same address has it now. Neither ids
 // nor the order of arrival show this: announcements may be delayed, also those of an
 // incarnation that has crashed since, so the one received last may be the dead one.
-type Life struct {
+type Lifetime struct {
 	// StartedAt is the estimated start time. Each announcement yields an estimate:
 	// its time of receipt less one interval for each announcement before it. The
 	// earliest estimate counts, so a delayed announcement does not make it later.
@@ -30,14 +30,14 @@
 )
 
 // Life returns the observed lifetime of this incarnation.
-func (b *BackendServer) Life() Life { return Life{StartedAt: b.StartedAt, SeenAt: b.SeenAt} }
+func (b *BackendServer) Life() Lifetime { return Lifetime{StartedAt: b.StartedAt, SeenAt: b.SeenAt} }
 
-// EndedBefore reports whether another incarnation at the same address shows that this
+// SupersededBy reports whether another incarnation at the same address shows that this
 // one has ended. Of two incarnations, at most one has ended before the other.
-func (l Life) EndedBefore(other Life) bool {
+func (l Lifetime) SupersededBy(other Lifetime) bool {
 	return l.startedBefore(other) && l.SeenAt.Sub(other.SeenAt) <= lateAnnouncementTolerance
 }
 
 // startedBefore reports whether this incarnation started earlier, beyond the error of the
 // estimates.
-func (l Life) startedBefore(other Life) bool { return other.StartedAt.Sub(l.StartedAt) > startMargin }
+func (l Lifetime) startedBefore(o Lifetime) bool { return o.StartedAt.Sub(l.StartedAt) > startMargin }
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -32,15 +32,15 @@
 type BackendServer struct {
 	// ID names the server; other servers may have had Addr before.
 	ID string
-	// Born is when this incarnation started, in Unix milliseconds by the server's own clock;
+	// StartUnixMs is when this incarnation started, in Unix milliseconds by the server's own clock;
 	// 0 if it does not announce it. It distinguishes incarnations with one ID: the later one
 	// replaces the earlier one, whose announcements no longer count.
-	Born    int64
-	Service string
-	Addr    string
-	Zone    string
-	Slots   int
-	State   State
+	StartUnixMs int64
+	Service     string
+	Addr        string
+	Zone        string
+	Slots       int
+	State       State
 	// Seq increases with each announcement.
 	Seq uint64
 	// Cold is for how much longer the server is slow after its start.
@@ -48,16 +48,16 @@
 	Models []Loaded
 	// SeenAt is when this process received the newest announcement.
 	SeenAt time.Time
-	// StartedAt is this process's estimate of the start time; see Life.
+	// StartedAt is this process's estimate of the start time; see Lifetime.
 	StartedAt time.Time
 }
 
-// Start returns the name of this incarnation, unique among those of all servers.
-func (b *BackendServer) Start() string {
-	if b.Born == 0 {
+// Incarnation returns the name of this incarnation, unique among those of all servers.
+func (b *BackendServer) Incarnation() string {
+	if b.StartUnixMs == 0 {
 		return b.ID
 	}
-	return b.ID + "@" + strconv.FormatInt(b.Born, 10)
+	return b.ID + "@" + strconv.FormatInt(b.StartUnixMs, 10)
 }
 
 // Holds returns the version of a model that the server has loaded with all its layers,
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -8,19 +8,19 @@
 
 // Table is a configuration with indexes for lookups; it is immutable.
 type Table struct {
-	Config   *Config
-	hosts    map[string][]*Route
-	services map[string]*Service
-	holders  map[string]*Organisation
+	Config        *Config
+	hosts         map[string][]*Route
+	services      map[string]*Service
+	organisations map[string]*Organisation
 }
 
 // NewTable indexes a valid configuration.
 func NewTable(c *Config) *Table {
 	t := &Table{
-		Config:   c,
-		hosts:    map[string][]*Route{},
-		services: map[string]*Service{},
-		holders:  map[string]*Organisation{},
+		Config:        c,
+		hosts:         map[string][]*Route{},
+		services:      map[string]*Service{},
+		organisations: map[string]*Organisation{},
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
@@ -34,7 +34,7 @@
 	}
 	for i := range c.Organisations {
 		for _, key := range c.Organisations[i].Keys {
-			t.holders[key] = &c.Organisations[i]
+			t.organisations[key] = &c.Organisations[i]
 		}
 	}
 	return t
@@ -54,8 +54,8 @@
 // Service returns a service by name, nil if it is not declared.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Holder returns the organisation that holds a key, nil if none does.
-func (t *Table) Holder(key string) *Organisation { return t.holders[key] }
+// OrganisationOf returns the organisation that holds a key, nil if none does.
+func (t *Table) OrganisationOf(key string) *Organisation { return t.organisations[key] }
 
 // HasOrganisations reports whether any organisation is declared; if none is,
 // requests need no key.
--- a/internal/fleetcontrol/follower.go
+++ b/internal/fleetcontrol/follower.go
@@ -197,7 +197,7 @@
 	}
 	for id := range f.renewed {
 		if b := h.servers.Get(id); b != nil && !f.changed[id] {
-			u.Seen = append(u.Seen, &rpc.ServerSeen{Id: id, Born: b.Born, Seq: b.Seq})
+			u.Seen = append(u.Seen, &rpc.ServerSeen{Id: id, Born: b.StartUnixMs, Seq: b.Seq})
 		}
 	}
 	for addr := range f.reports {
--- a/internal/fleetcontrol/hub.go
+++ b/internal/fleetcontrol/hub.go
@@ -118,7 +118,7 @@
 	change := h.servers.Merge(b)
 	switch change {
 	case directory.Changed:
-		h.log.Info().Str("server", b.ID).Int64("born", b.Born).Str("service", b.Service).Str("addr", b.Addr).Str("zone", b.Zone).
+		h.log.Info().Str("server", b.ID).Int64("born", b.StartUnixMs).Str("service", b.Service).Str("addr", b.Addr).Str("zone", b.Zone).
 			Stringer("state", b.State).Uint64("seq", b.Seq).Str("source", source).Msg("backend server changed")
 		for f := range h.followers {
 			f.changed[b.ID] = true
--- a/internal/fleetcontrol/metrics.go
+++ b/internal/fleetcontrol/metrics.go
@@ -36,7 +36,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, b := range h.servers.All() {
-		if b.State == fleet.StateReady && !h.servers.Replaced(b) {
+		if b.State == fleet.StateReady && !h.servers.AddressTakenOver(b) {
 			age = max(age, now.Sub(b.SeenAt))
 		}
 	}
--- a/internal/fleetcontrol/suspects.go
+++ b/internal/fleetcontrol/suspects.go
@@ -76,13 +76,13 @@
 // configuration after a power loss then has the quarantined contents, too, and does not dispatch
 // them.
 func (h *hub) mergeQuarantined(state *ledger.State) {
-	if slices.Equal(state.Held, h.committed) {
+	if slices.Equal(state.Quarantined, h.committed) {
 		return
 	}
-	h.committed = state.Held
+	h.committed = state.Quarantined
 	now := clock.Now()
-	recorded := make(map[quarantine.Digest]bool, len(state.Held))
-	for _, d := range state.Held {
+	recorded := make(map[quarantine.Digest]bool, len(state.Quarantined))
+	for _, d := range state.Quarantined {
 		recorded[d] = true
 		if !h.recorded[d] {
 			h.mergeSuspicionsLocked(now, []quarantine.Update{{Digest: d, At: now}})
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -207,7 +207,7 @@
 		b := ServerFromProto(s, now)
 		if v.servers.Merge(b) == directory.Changed {
 			changed = true
-			v.log.Info().Str("server", b.ID).Int64("born", b.Born).Str("service", b.Service).Str("addr", b.Addr).Stringer("state", b.State).
+			v.log.Info().Str("server", b.ID).Int64("born", b.StartUnixMs).Str("service", b.Service).Str("addr", b.Addr).Stringer("state", b.State).
 				Uint64("seq", b.Seq).Interface("models", b.Models).Msg("backend server changed")
 		}
 	}
--- a/internal/follow/wire.go
+++ b/internal/follow/wire.go
@@ -12,7 +12,7 @@
 func ServerToProto(b *fleet.BackendServer, now time.Time) *rpc.BackendServer {
 	out := &rpc.BackendServer{
 		Id: b.ID, Service: b.Service, Addr: b.Addr, Zone: b.Zone, Slots: uint32(b.Slots),
-		State: uint32(b.State), Seq: b.Seq, Born: b.Born, ColdMs: b.Cold.Milliseconds(),
+		State: uint32(b.State), Seq: b.Seq, Born: b.StartUnixMs, ColdMs: b.Cold.Milliseconds(),
 		AgeMs: now.Sub(b.SeenAt).Milliseconds(),
 	}
 	out.Models = ModelsToProto(b.Models)
@@ -23,7 +23,7 @@
 func ServerFromProto(s *rpc.BackendServer, now time.Time) fleet.BackendServer {
 	b := fleet.BackendServer{
 		ID: s.Id, Service: s.Service, Addr: s.Addr, Zone: s.Zone, Slots: int(s.Slots),
-		State: fleet.State(s.State), Seq: s.Seq, Born: s.Born, Cold: time.Duration(s.ColdMs) * time.Millisecond,
+		State: fleet.State(s.State), Seq: s.Seq, StartUnixMs: s.Born, Cold: time.Duration(s.ColdMs) * time.Millisecond,
 		SeenAt: now.Add(-time.Duration(s.AgeMs) * time.Millisecond),
 	}
 	b.Models = ModelsFromProto(s.Models)
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -90,7 +90,7 @@
 	if !connectionLost(err) || c.g.balancer.Leaving(s) || !c.g.suspects.hasCrashed(s) {
 		return
 	}
-	c.g.suspects.recordCrash(clock.Now(), s.Start, c.digest(), c.hasTurn)
+	c.g.suspects.recordCrash(clock.Now(), s.Incarnation, c.digest(), c.hasTurn)
 }
 
 // connectionLost reports whether an error means that the peer or its VM closed the connection. A
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -166,7 +166,7 @@
 func TestCrashIsDetectedByARefusedConnectionOnly(t *testing.T) {
 	b := newBackend(t, "b-1", good)
 	e := newEntry(t, b)
-	choice, _ := e.balancer.Pick(time.Now(), balance.Want{Service: "engine"})
+	choice, _ := e.balancer.Pick(time.Now(), balance.Requirements{Service: "engine"})
 	require.NotNil(t, choice.Server)
 	assert.False(t, e.suspects.hasCrashed(choice.Server), "it accepts connections")
 	b.Close()
--- a/internal/gateway/allowance.go
+++ b/internal/gateway/allowance.go
@@ -13,7 +13,7 @@
 	if e == nil || c.route.Objective <= 0 {
 		return
 	}
-	c.g.queues.recordArrival(c.service, c.route.Objective, e.ReadTime(c.promptTokens(e)), e.ReadTime(e.UsualPrompt), c.clientRetry)
+	c.g.queues.recordArrival(c.service, c.route.Objective, e.PrefillTime(c.promptTokens(e)), e.PrefillTime(e.UsualPrompt), c.clientRetry)
 }
 
 // recordArrival adds a request with this objective to the allowance of a service. The engine takes read
@@ -51,5 +51,5 @@
 	if e == nil {
 		return 0
 	}
-	return max(time.Duration(unnoticedShare*float64(c.route.Objective))-read-e.Pass(), minWaitBudget)
+	return max(time.Duration(unnoticedShare*float64(c.route.Objective))-read-e.PassTime(), minWaitBudget)
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -59,27 +59,27 @@
 	}
 }
 
-// ending returns how a failed attempt ended for the balancer, by who ended it, and sets endedBy.
-func (c *call) ending(watch *watchdog) balance.Ending {
+// balanceResult returns how a failed attempt ended for the balancer, by who ended it, and sets endedBy.
+func (c *call) balanceResult(watch *watchdog) balance.Result {
 	switch {
 	case watch.weightsExpired.Load():
 		c.endedBy = "entry: the server's weights are over"
-		return balance.EndedElse
+		return balance.ResultUnknown
 	case watch.parent.Err() != nil:
 		c.endedBy = "caller or deadline"
-		return balance.EndedElse
+		return balance.ResultUnknown
 	case watch.server.Context().Err() != nil:
 		c.endedBy = "server: started again"
-		return balance.EndedElse
+		return balance.ResultUnknown
 	}
 	c.endedBy = "server or link"
-	return balance.EndedFailed
+	return balance.ResultFailed
 }
 
 // recordFailure counts an attempt that failed because of its server or the connection, and records
 // a crash if the server has crashed.
-func (c *call) recordFailure(ending balance.Ending, begun bool, err error) {
-	if ending != balance.EndedFailed {
+func (c *call) recordFailure(result balance.Result, begun bool, err error) {
+	if result != balance.ResultFailed {
 		return
 	}
 	c.g.cfg.Metrics.failedAttempts.WithLabelValues(c.service, strconv.FormatBool(begun)).Inc()
@@ -89,19 +89,19 @@
 // attemptFailed handles an attempt without an answer.
 func (c *call) attemptFailed(watch *watchdog, err error) attemptResult {
 	c.lastErr = err
-	ending := c.ending(watch)
+	result := c.balanceResult(watch)
 	if errors.Is(err, dispatch.ErrNoConnection) {
-		ending = balance.EndedBusy
+		result = balance.ResultBusy
 	}
-	c.g.balancer.Done(&c.choice, clock.Now(), ending)
+	c.g.balancer.Done(&c.choice, clock.Now(), result)
 	if errors.Is(err, dispatch.ErrNotSent) {
 		c.logAttempt("attempt failed", err)
-		c.allowLastServer(ending)
+		c.allowLastServer(result)
 		return attemptAgain
 	}
 	c.countAttempt()
 	c.mayHaveRun = true
-	c.recordFailure(ending, false, err)
+	c.recordFailure(result, false, err)
 	c.logAttempt("attempt failed", err)
 	if watch.weightsExpired.Load() && c.route.Idempotent() {
 		return attemptAgain // it has most likely not begun
@@ -150,32 +150,32 @@
 }
 
 // refusal returns how an attempt that its server did not run ended for the balancer.
-func (c *call) refusal(a *dispatch.Answer, choice *balance.Choice) balance.Ending {
+func (c *call) refusal(a *dispatch.Answer, choice *balance.Choice) balance.Result {
 	other := a.Header.Get(c.g.cfg.Headers.ServerID)
 	if a.StatusCode == http.StatusMisdirectedRequest && other != "" && other != choice.Server.ID {
-		return balance.EndedGone
+		return balance.ResultReplaced
 	}
-	return balance.EndedBusy
+	return balance.ResultBusy
 }
 
 // notRun handles an answer which states that the server did not run the request.
 func (c *call) notRun(a *dispatch.Answer) attemptResult {
-	ending := c.refusal(a, &c.choice)
+	result := c.refusal(a, &c.choice)
 	_, _ = io.Copy(io.Discard, a)
-	c.allowLastServer(ending)
+	c.allowLastServer(result)
 	c.refusals++
 	if requestedBackoff(a) > 0 {
 		c.backoffs++
 	}
-	c.g.balancer.Done(&c.choice, clock.Now(), ending)
+	c.g.balancer.Done(&c.choice, clock.Now(), result)
 	c.logAttempt("backend server did not run the request: "+strconv.Itoa(a.StatusCode), nil)
 	return attemptAgain
 }
 
 // allowLastServer removes the last server from those excluded from the next attempt, if it was only
 // full and the rest of a stream is at stake.
-func (c *call) allowLastServer(ending balance.Ending) {
-	if c.events > 0 && ending == balance.EndedBusy {
+func (c *call) allowLastServer(result balance.Result) {
+	if c.events > 0 && result == balance.ResultBusy {
 		c.tried = c.tried[:len(c.tried)-1]
 	}
 }
@@ -187,11 +187,11 @@
 	if err != nil {
 		return c.brokenAnswer(watch, "answer broke off", err)
 	}
-	ending := balance.EndedWell
+	result := balance.ResultSucceeded
 	if a.StatusCode >= http.StatusInternalServerError {
-		ending = balance.EndedFailed
+		result = balance.ResultFailed
 	}
-	c.g.balancer.Done(&c.choice, clock.Now(), ending)
+	c.g.balancer.Done(&c.choice, clock.Now(), result)
 	c.logAttempt("backend server failed: "+strconv.Itoa(a.StatusCode), nil)
 	if c.committed {
 		return attemptAgain // the error answer must not be written into a stream that has begun
@@ -216,9 +216,9 @@
 // brokenAnswer handles an answer that can't be forwarded to the caller, or not to its end.
 func (c *call) brokenAnswer(watch *watchdog, what string, err error) attemptResult {
 	c.lastErr = err
-	ending := c.ending(watch)
-	c.g.balancer.Done(&c.choice, clock.Now(), ending)
-	c.recordFailure(ending, true, err)
+	result := c.balanceResult(watch)
+	c.g.balancer.Done(&c.choice, clock.Now(), result)
+	c.recordFailure(result, true, err)
 	c.noteInterrupted()
 	c.logAttempt(what, err)
 	if c.route.Idempotent() {
@@ -242,7 +242,7 @@
 
 // writeWhole writes a complete non-streaming answer to the caller.
 func (c *call) writeWhole(a *dispatch.Answer, body []byte) attemptResult {
-	c.g.balancer.Done(&c.choice, clock.Now(), balance.EndedWell)
+	c.g.balancer.Done(&c.choice, clock.Now(), balance.ResultSucceeded)
 	c.clearSuspicion()
 	c.copyHead(a)
 	c.status, c.reason = a.StatusCode, "served"
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -79,7 +79,7 @@
 	// one that failed after the first event.
 	endedBy, interruptedBy string
 	// capacity says why no server was chosen; waited is the time spent in the wait queue.
-	capacity balance.Room
+	capacity balance.Availability
 	waited   time.Duration
 	// committed: the head of the answer has been written to the caller.
 	committed bool
@@ -128,7 +128,7 @@
 		return
 	}
 	if t.HasOrganisations() && !c.route.Anonymous {
-		c.org = t.Holder(c.r.Header.Get(c.g.cfg.Headers.Key))
+		c.org = t.OrganisationOf(c.r.Header.Get(c.g.cfg.Headers.Key))
 		if c.org == nil {
 			c.fail(http.StatusUnauthorized, "unknown key")
 			return
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -90,11 +90,11 @@
 // pick asks the balancer for a server, and waits in the wait queue if that can help. The rest of
 // a stream that has begun waits until the deadline, as long as any server may become able to
 // take it.
-func (c *call) pick(ctx context.Context, isRetry bool) (balance.Choice, balance.Room) {
+func (c *call) pick(ctx context.Context, isRetry bool) (balance.Choice, balance.Availability) {
 	for {
 		now := clock.Now()
 		if c.deadline.Sub(now) < minAttemptTime {
-			return balance.Choice{}, balance.Room{}
+			return balance.Choice{}, balance.Availability{}
 		}
 		want := c.want(objectiveShare(isRetry))
 		if c.events > 0 {
@@ -114,15 +114,15 @@
 
 // pickNow asks the balancer for a server with a free slot. A client retry, which is late already,
 // gets none while first attempts wait.
-func (c *call) pickNow(now time.Time, want balance.Want) (balance.Choice, balance.Room) {
+func (c *call) pickNow(now time.Time, want balance.Requirements) (balance.Choice, balance.Availability) {
 	if c.attempts == 0 && c.clientRetry && c.g.queues.hasFirstAttempts(c.service) {
-		return c.g.balancer.Look(now, want)
+		return c.g.balancer.Evaluate(now, want)
 	}
 	return c.g.balancer.Pick(now, want)
 }
 
 // failNoServer ends a call that no server can take.
-func (c *call) failNoServer(capacity balance.Room) {
+func (c *call) failNoServer(capacity balance.Availability) {
 	c.capacity = capacity
 	switch {
 	case clock.Until(c.deadline) < minAttemptTime:
--- a/internal/gateway/free_connection_test.go
+++ b/internal/gateway/free_connection_test.go
@@ -24,10 +24,10 @@
 	e := newEntry(t, newBackend(t, "b-breaks", events(2)), takes)
 	e.onlyEngines()
 	// The entry's connections to the server are all in use for 0.3 s.
-	breaks, _ := e.balancer.Pick(time.Now(), balance.Want{Service: "engine", Model: "m", Budget: time.Second})
-	choice, _ := e.balancer.Pick(time.Now(), balance.Want{Service: "engine", Model: "m", Budget: time.Second, Exclude: []*balance.Server{breaks.Server}})
-	e.balancer.Done(&breaks, time.Now(), balance.EndedElse)
-	e.balancer.Done(&choice, time.Now(), balance.EndedElse)
+	breaks, _ := e.balancer.Pick(time.Now(), balance.Requirements{Service: "engine", Model: "m", Budget: time.Second})
+	choice, _ := e.balancer.Pick(time.Now(), balance.Requirements{Service: "engine", Model: "m", Budget: time.Second, Exclude: []*balance.Server{breaks.Server}})
+	e.balancer.Done(&breaks, time.Now(), balance.ResultUnknown)
+	e.balancer.Done(&choice, time.Now(), balance.ResultUnknown)
 	require.Equal(t, "b-takes", choice.Server.ID)
 	choice.Server.Pool.SetMaxOpen(1)
 	go func() {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -120,7 +120,7 @@
 		suspects: newSuspicions(cfg.Logger, cfg.Tell, cfg.Turns),
 		start:    clock.Now(), budgets: map[string]*retry.Budget{},
 	}
-	b.OnRoom(g.queues.grant)
+	b.OnSlotFreed(g.queues.grant)
 	b.OnSignals(cfg.TellSignals)
 	g.view.Store(&follow.View{})
 	return g
@@ -138,13 +138,13 @@
 // Reported adds an agent's report.
 func (g *Gateway) Reported(r *rpc.AgentReport) {
 	g.balancer.Reported(clock.Now(), balance.Report{
-		Addr: r.Addr, Born: r.Born, Loading: r.Loading, Models: follow.ModelsFromProto(r.Models),
+		Addr: r.Addr, StartUnixMs: r.Born, Loading: r.Loading, Models: follow.ModelsFromProto(r.Models),
 		Running: int(r.Running), Waiting: int(r.Waiting),
 	})
 }
 
 // Renewed records the time of a backend server's last heartbeat.
-func (g *Gateway) Renewed(id string, at time.Time) { g.balancer.Renewed(id, at) }
+func (g *Gateway) Renewed(id string, at time.Time) { g.balancer.Announced(id, at) }
 
 // Suspected adds reports of other entries on suspect content.
 func (g *Gateway) Suspected(updates []quarantine.Update) { g.suspects.merge(clock.Now(), updates) }
@@ -153,7 +153,7 @@
 func (g *Gateway) Suspicions() []quarantine.Update { return g.suspects.all() }
 
 // LearnSignals adds signals of backend servers that other entries received.
-func (g *Gateway) LearnSignals(updates []backpressure.Update) { g.balancer.Learn(clock.Now(), updates) }
+func (g *Gateway) LearnSignals(u []backpressure.Update) { g.balancer.ApplyUpdates(clock.Now(), u) }
 
 // Signals returns the signals of backend servers that are known here.
 func (g *Gateway) Signals() []backpressure.Update { return g.balancer.Signals() }
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -75,7 +75,7 @@
 		return nil
 	}
 	if !c.g.budget(c.service).TryRetry(c.g.monotonic(now)) {
-		c.g.balancer.Done(&choice, now, balance.EndedElse)
+		c.g.balancer.Done(&choice, now, balance.ResultUnknown)
 		return nil
 	}
 	c.attempts++
@@ -106,7 +106,7 @@
 
 // handoverWant returns what the other server of a handover must offer. If the first server only
 // waits to load weights, the caller must not notice the handover.
-func (c *call) handoverWant(why handoverReason) balance.Want {
+func (c *call) handoverWant(why handoverReason) balance.Requirements {
 	want := c.want(retryShare)
 	if why == handoverLoading {
 		want.Budget = c.unnoticedWait(want.Read)
@@ -232,7 +232,7 @@
 	c.next = nil
 	h.answer.Close()
 	h.next.stop()
-	c.g.balancer.Done(&h.choice, clock.Now(), balance.EndedElse)
+	c.g.balancer.Done(&h.choice, clock.Now(), balance.ResultUnknown)
 }
 
 // logHandover writes one line for a step of a handover. call.mu must be locked.
@@ -243,5 +243,5 @@
 	}
 	c.describe(event).Str("server", w.server.ID).Str("why", string(h.why)).Str("to", h.choice.Server.ID).
 		Float64("queue", h.choice.Queue).Int("slots", h.choice.Slots).Dur("wait_ms", h.choice.Wait).
-		Dur("load_age_ms", h.choice.Told).Uint64("weights", h.choice.Version).Str("after_event", c.lastEvent).Msg(what)
+		Dur("load_age_ms", h.choice.ReportAge).Uint64("weights", h.choice.Version).Str("after_event", c.lastEvent).Msg(what)
 }
--- a/internal/gateway/handover_attempt.go
+++ b/internal/gateway/handover_attempt.go
@@ -25,14 +25,14 @@
 	defer limit.Stop()
 	answer, err := h.choice.Server.Pool.Send(h.next.ctx, h.request, c.deadline)
 	if err != nil {
-		c.handoverFailed(w, h, balance.EndedFailed, err)
+		c.handoverFailed(w, h, balance.ResultFailed, err)
 		return
 	}
 	c.noteHead(&h.choice, answer)
-	read, ending, err := c.firstPart(h, answer)
+	read, result, err := c.firstPart(h, answer)
 	if err != nil {
 		answer.Close()
-		c.handoverFailed(w, h, ending, err)
+		c.handoverFailed(w, h, result, err)
 		return
 	}
 	c.mu.Lock()
@@ -42,7 +42,7 @@
 	behind := len(read) == 0 && len(c.buffered) > 0
 	if h.cancelled || behind || !limit.Stop() {
 		answer.Close()
-		c.dropHandover(w, h, balance.EndedElse, context.Canceled)
+		c.dropHandover(w, h, balance.ResultUnknown, context.Canceled)
 		return
 	}
 	c.runs++
@@ -66,25 +66,25 @@
 
 // firstPart reads the first whole events of a stream, or the whole of a non-streaming answer. On
 // failure it returns how the attempt ended for the balancer.
-func (c *call) firstPart(h *handover, a *dispatch.Answer) ([]byte, balance.Ending, error) {
+func (c *call) firstPart(h *handover, a *dispatch.Answer) ([]byte, balance.Result, error) {
 	switch {
 	case c.isNotRun(a):
 		_, _ = io.Copy(io.Discard, a)
 		return nil, c.refusal(a, &h.choice), errRefused
 	case a.StatusCode/100 != 2, !c.signed(a):
-		return nil, balance.EndedFailed, errors.New("no signed answer: " + strconv.Itoa(a.StatusCode))
+		return nil, balance.ResultFailed, errors.New("no signed answer: " + strconv.Itoa(a.StatusCode))
 	}
 	h.began = true
 	a.SetReadDeadline(c.deadline)
 	if c.route.Kind != fleet.KindStream {
 		body, err := readWhole(a, c.deadline)
-		return body, balance.EndedFailed, err
+		return body, balance.ResultFailed, err
 	}
 	buf := make([]byte, 0, streamBuffer)
 	for wholeEvents(buf) == 0 {
 		var err error
 		if buf, err = growBuffer(buf); err != nil {
-			return nil, balance.EndedFailed, err
+			return nil, balance.ResultFailed, err
 		}
 		n, err := a.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
@@ -92,34 +92,34 @@
 			return nil, 0, nil // the stream has no further events
 		}
 		if err != nil && wholeEvents(buf) == 0 {
-			return nil, balance.EndedFailed, err
+			return nil, balance.ResultFailed, err
 		}
 	}
 	return buf, 0, nil
 }
 
 // handoverFailed ends a failed handover; the request stays at its first server.
-func (c *call) handoverFailed(w *watchdog, h *handover, ending balance.Ending, err error) {
+func (c *call) handoverFailed(w *watchdog, h *handover, result balance.Result, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case h.next.ctx.Err() != nil:
-		ending = balance.EndedElse // cancelled here, which says nothing about the server
+		result = balance.ResultUnknown // cancelled here, which says nothing about the server
 	case errors.Is(err, dispatch.ErrNoConnection):
-		ending = balance.EndedBusy
+		result = balance.ResultBusy
 	}
-	if ending == balance.EndedFailed || ending == balance.EndedGone {
+	if result == balance.ResultFailed || result == balance.ResultReplaced {
 		c.tried = append(c.tried, h.choice.Server)
 	}
-	if ending == balance.EndedFailed && !errors.Is(err, dispatch.ErrNotSent) {
+	if result == balance.ResultFailed && !errors.Is(err, dispatch.ErrNotSent) {
 		h.began = true // it may have begun
 		go c.noteCrash(h.choice.Server, err)
 	}
-	c.dropHandover(w, h, ending, err)
+	c.dropHandover(w, h, result, err)
 }
 
 // dropHandover removes a failed handover from the call and counts it. call.mu must be locked.
-func (c *call) dropHandover(w *watchdog, h *handover, ending balance.Ending, err error) {
+func (c *call) dropHandover(w *watchdog, h *handover, result balance.Result, err error) {
 	c.handover = nil
 	if errors.Is(err, dispatch.ErrNotSent) {
 		c.attempts--
@@ -134,6 +134,6 @@
 		}
 	}
 	h.next.cancel()
-	c.g.balancer.Done(&h.choice, clock.Now(), ending)
+	c.g.balancer.Done(&h.choice, clock.Now(), result)
 	c.logHandover("handover failed; the request stays at its server", w, h, err)
 }
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -242,12 +242,12 @@
 	e := newEntry(t, silent, other)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	heard, _ := e.balancer.Pick(time.Now(), balance.Want{Service: "engine", Model: "m", Budget: time.Hour})
+	heard, _ := e.balancer.Pick(time.Now(), balance.Requirements{Service: "engine", Model: "m", Budget: time.Hour})
 	require.Equal(t, "1", heard.Server.ID)
-	e.balancer.Done(&heard, time.Now(), balance.EndedElse)
+	e.balancer.Done(&heard, time.Now(), balance.ResultUnknown)
 	go func() {
 		for ctx.Err() == nil {
-			e.balancer.Heard(heard.Server, time.Now())
+			e.balancer.BytesReceived(heard.Server, time.Now())
 			time.Sleep(20 * time.Millisecond)
 		}
 	}()
@@ -256,7 +256,7 @@
 	assert.Equal(t, wholeStream, a.body)
 	require.Len(t, other.requests(), 1)
 	assert.Equal(t, "1", other.requests()[0].Header.Get(headers.ResumeAfter))
-	again, _ := e.balancer.Pick(time.Now(), balance.Want{Service: "engine", Model: "m", Budget: time.Hour})
+	again, _ := e.balancer.Pick(time.Now(), balance.Requirements{Service: "engine", Model: "m", Budget: time.Hour})
 	assert.Equal(t, "1", again.Server.ID, "the server is not ejected")
 	assert.Contains(t, e.logs.String(), "nothing came over the connection")
 }
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -21,7 +21,7 @@
 	for _, r := range view.Servers["engine"] {
 		next := *r
 		if r.ID == b.id {
-			next.Born, next.Models = born, models
+			next.StartUnixMs, next.Models = born, models
 		}
 		records = append(records, &next)
 	}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -47,14 +47,14 @@
 
 // want returns the requirements for the server of an attempt whose first event must be predicted
 // within this share of the objective, for a usual request to the service.
-func (c *call) want(share float64) balance.Want {
-	w := balance.Want{Service: c.service, Model: c.model, Exclude: c.tried}
+func (c *call) want(share float64) balance.Requirements {
+	w := balance.Requirements{Service: c.service, Model: c.model, Exclude: c.tried}
 	if e := c.engine(); e != nil {
-		w.Read = e.ReadTime(c.promptTokens(e))
-		w.Budget = c.g.queues.allowance(c.service, share, e.Pass())
+		w.Read = e.PrefillTime(c.promptTokens(e))
+		w.Budget = c.g.queues.allowance(c.service, share, e.PassTime())
 		c.allowed = w.Budget
 		// A request whose prompt alone takes the objective is late at any server.
-		if !c.clientRetry && w.Read+e.Pass() < c.route.Objective {
+		if !c.clientRetry && w.Read+e.PassTime() < c.route.Objective {
 			w.Due = c.began.Add(c.route.Objective)
 		}
 	}
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -171,7 +171,7 @@
 	}
 	if c.choice.Server != nil {
 		event.Str("server", c.choice.Server.ID).Float64("queue", c.choice.Queue).
-			Dur("wait_ms", c.choice.Wait).Dur("load_age_ms", c.choice.Told).Bool("own", c.choice.Own).Int("own_requests", c.choice.InFlight).
+			Dur("wait_ms", c.choice.Wait).Dur("load_age_ms", c.choice.ReportAge).Bool("own", c.choice.Owned).Int("own_requests", c.choice.InFlight).
 			Float64("unseen", c.choice.Unseen)
 	}
 	if c.capacity.Known > 0 {
@@ -211,7 +211,7 @@
 		event.Stringer("content", c.digest())
 	}
 	c.describe(event).Str("server", c.choice.Server.ID).Str("addr", c.choice.Server.Addr).
-		Float64("queue", c.choice.Queue).Int("slots", c.choice.Slots).Dur("load_age_ms", c.choice.Told).
+		Float64("queue", c.choice.Queue).Int("slots", c.choice.Slots).Dur("load_age_ms", c.choice.ReportAge).
 		AnErr("cause", err).Int64("left_ms", clock.Until(c.deadline).Milliseconds()).Msg(what)
 }
 
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -15,7 +15,7 @@
 // noteHead records the signals about the server in the header of an answer.
 func (c *call) noteHead(choice *balance.Choice, a *dispatch.Answer) {
 	now := clock.Now()
-	c.g.balancer.Heard(choice.Server, now)
+	c.g.balancer.BytesReceived(choice.Server, now)
 	c.noteLoad(choice.Server, a.Header, now)
 	c.noteLimit(choice, a, now)
 	if !c.isNotRun(a) {
@@ -47,7 +47,7 @@
 	if errRunning != nil || errWaiting != nil {
 		return // a malformed value is ignored
 	}
-	c.g.balancer.Told(s, now, r, q)
+	c.g.balancer.LoadReported(s, now, r, q)
 }
 
 // noteLimit records the limit stated in an answer's header. An answer without one lifts an earlier
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -34,12 +34,12 @@
 	h, err := c.settleHandover(watch, a, c.forwardEvents(watch, a, read))
 	switch {
 	case err == nil:
-		c.g.balancer.Done(&c.choice, clock.Now(), balance.EndedWell)
+		c.g.balancer.Done(&c.choice, clock.Now(), balance.ResultSucceeded)
 		c.clearSuspicion()
 		c.status, c.reason = a.StatusCode, "served"
 		return attemptFinal
 	case errors.Is(err, errCallerGone):
-		c.g.balancer.Done(&c.choice, clock.Now(), balance.EndedElse)
+		c.g.balancer.Done(&c.choice, clock.Now(), balance.ResultUnknown)
 		c.status, c.reason = statusClientGone, "caller left"
 		return attemptFinal
 	case h != nil:
@@ -60,16 +60,16 @@
 
 // endHandedOver ends an attempt whose request another server has taken over.
 func (c *call) endHandedOver(h *handover) {
-	ending := balance.EndedElse
+	result := balance.ResultUnknown
 	switch h.why {
 	case handoverServerSilent, handoverLate:
-		ending = balance.EndedSilent
+		result = balance.ResultSilent
 	case handoverConnectionSilent:
 		c.choice.Server.Pool.CloseIdle() // idle connections may be dead, too
 	}
 	c.endedBy = "entry: " + string(h.why)
 	c.noteInterrupted()
-	c.g.balancer.Done(&c.choice, clock.Now(), ending)
+	c.g.balancer.Done(&c.choice, clock.Now(), result)
 	c.logAttempt("request handed over to another server", nil)
 	c.next = h
 }
@@ -136,7 +136,7 @@
 	if end == 0 {
 		return buf, nil
 	}
-	c.g.balancer.Heard(c.choice.Server, clock.Now())
+	c.g.balancer.BytesReceived(c.choice.Server, clock.Now())
 	if err := c.forwardOrBuffer(a, buf[:end]); err != nil {
 		return nil, err
 	}
@@ -165,7 +165,7 @@
 		c.longestGap = max(c.longestGap, now.Sub(c.eventAt))
 	}
 	c.eventAt = now
-	c.g.balancer.Began(&c.choice, now)
+	c.g.balancer.FirstEvent(&c.choice, now)
 	c.commit(a)
 	if id, ok := lastEventID(events); ok {
 		c.lastEvent = id
--- a/internal/gateway/wait_queue.go
+++ b/internal/gateway/wait_queue.go
@@ -43,7 +43,7 @@
 
 // waiter is a waiting request. want must not be changed while it waits.
 type waiter struct {
-	want    balance.Want
+	want    balance.Requirements
 	granted chan balance.Choice
 }
 
@@ -92,7 +92,7 @@
 // wait waits until the request gets a slot, its time to wait is over, or ctx ends; it returns false
 // in the latter cases. availableAt is when a throttled server with free slots accepts requests
 // again, zero if there is none.
-func (q *waitQueues) wait(ctx context.Context, r *waiting.Request, want balance.Want, availableAt time.Time) (balance.Choice, bool) {
+func (q *waitQueues) wait(ctx context.Context, r *waiting.Request, want balance.Requirements, availableAt time.Time) (balance.Choice, bool) {
 	w := &waiter{want: want, granted: make(chan balance.Choice, 1)}
 	q.add(r, w, availableAt)
 	timer := time.NewTimer(clock.Until(r.WaitDeadline))
@@ -186,7 +186,7 @@
 // waitForSlot queues a request that has had no attempt, if some server fits but is full, refused a
 // request a moment ago, or is throttled. It returns false if no slot becomes free in time, or
 // none is expected to.
-func (c *call) waitForSlot(ctx context.Context, want balance.Want, capacity balance.Room) (balance.Choice, bool) {
+func (c *call) waitForSlot(ctx context.Context, want balance.Requirements, capacity balance.Availability) (balance.Choice, bool) {
 	if c.attempts > 0 || c.events > 0 || c.engine() == nil || capacity.Fit+capacity.Busy+capacity.Limited+capacity.BackingOff == 0 {
 		return balance.Choice{}, false
 	}
@@ -205,7 +205,7 @@
 }
 
 // slotExpected reports whether a slot is expected to become free while the request may wait.
-func slotExpected(r *waiting.Request, want balance.Want, capacity balance.Room) bool {
+func slotExpected(r *waiting.Request, want balance.Requirements, capacity balance.Availability) bool {
 	left := r.WaitDeadline.Sub(r.Since)
 	switch {
 	case left <= 0:
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -27,8 +27,8 @@
 	Config        []byte
 	// Versions holds the newest version of the weights by model.
 	Versions map[string]Version
-	// Held lists the quarantined request contents, the newest last.
-	Held []quarantine.Digest
+	// Quarantined lists the quarantined request contents, the newest last.
+	Quarantined []quarantine.Digest
 }
 
 // maxQuarantined bounds the quarantined contents in the state, 16 bytes each; it is also the number
@@ -174,20 +174,20 @@
 
 // release lifts the quarantine of a content, given by its digest.
 func (s *State) release(raw []byte) bool {
-	if len(raw) != quarantine.DigestSize || !slices.Contains(s.Held, quarantine.Digest(raw)) {
+	if len(raw) != quarantine.DigestSize || !slices.Contains(s.Quarantined, quarantine.Digest(raw)) {
 		return false
 	}
-	s.Held = slices.DeleteFunc(slices.Clone(s.Held), func(d quarantine.Digest) bool { return d == quarantine.Digest(raw) })
+	s.Quarantined = slices.DeleteFunc(slices.Clone(s.Quarantined), func(d quarantine.Digest) bool { return d == quarantine.Digest(raw) })
 	return true
 }
 
 // addQuarantined adds the digest of a quarantined content. It ignores data that is not a digest.
 func (s *State) addQuarantined(raw []byte) bool {
-	if len(raw) != quarantine.DigestSize || slices.Contains(s.Held, quarantine.Digest(raw)) {
+	if len(raw) != quarantine.DigestSize || slices.Contains(s.Quarantined, quarantine.Digest(raw)) {
 		return false
 	}
-	held := append(slices.Clone(s.Held), quarantine.Digest(raw))
-	s.Held = held[max(0, len(held)-maxQuarantined):]
+	quarantined := append(slices.Clone(s.Quarantined), quarantine.Digest(raw))
+	s.Quarantined = quarantined[max(0, len(quarantined)-maxQuarantined):]
 	return true
 }
 
@@ -198,7 +198,7 @@
 	for model, v := range s.Versions {
 		out.Versions = append(out.Versions, &rpc.ModelVersion{Model: model, Version: v.Number})
 	}
-	for _, d := range s.Held {
+	for _, d := range s.Quarantined {
 		out.Held = append(out.Held, d[:])
 	}
 	data, err := proto.Marshal(out)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -70,19 +70,19 @@
 		return d[:]
 	}
 	apply(t, l, &rpc.FleetCommand{Held: [][]byte{digest(1), digest(1), []byte("no digest")}})
-	assert.Len(t, l.State().Held, 1)
+	assert.Len(t, l.State().Quarantined, 1)
 	for i := range maxQuarantined {
 		apply(t, l, &rpc.FleetCommand{Held: [][]byte{digest(i + 1)}})
 	}
 	apply(t, l, &rpc.FleetCommand{Held: [][]byte{digest(-1)}})
-	held := l.State().Held
-	assert.Len(t, held, maxQuarantined)
-	assert.Equal(t, quarantine.Digest(digest(-1)), held[maxQuarantined-1], "the oldest is dropped")
+	quarantined := l.State().Quarantined
+	assert.Len(t, quarantined, maxQuarantined)
+	assert.Equal(t, quarantine.Digest(digest(-1)), quarantined[maxQuarantined-1], "the oldest is dropped")
 	data, err := l.Snapshot()
 	require.NoError(t, err)
 	other := New(time.Now)
 	require.NoError(t, other.Restore(data))
-	assert.Equal(t, held, other.State().Held)
+	assert.Equal(t, quarantined, other.State().Quarantined)
 	apply(t, l, &rpc.FleetCommand{Lifted: digest(-1)})
-	assert.Equal(t, held[:maxQuarantined-1], l.State().Held, "released by an operator")
+	assert.Equal(t, quarantined[:maxQuarantined-1], l.State().Quarantined, "released by an operator")
 }
