--- a/internal/fleetdaemon/agent.go
+++ b/internal/fleetdaemon/agent.go
@@ -29,13 +29,13 @@
 	viewer := follow.NewViewer(fleet.DecodeServices, nil, cfg.AnnounceInterval, cfg.Logger)
 	a := cfg.Agent
 	following := followerConfig(cfg, fleetcontrol.RoleAgent, viewer)
-	following.Most = agentFollows
+	following.MaxServers = agentFollows
 	client := follow.New(following)
 	return &agentRole{
 		client: client,
 		stager: staging.New(staging.Config{
 			Service: a.Service, EngineAddr: a.EngineAddr, PeerAddr: a.PeerAddr,
-			Engine: a.Engine, Origin: a.Origin, View: viewer.View, Tell: client.Tell, Zone: cfg.Zone, LinkMbps: a.LinkMbps,
+			Engine: a.Engine, Origin: a.Origin, View: viewer.View, Tell: client.SendReport, Zone: cfg.Zone, LinkMbps: a.LinkMbps,
 			VersionBound: cfg.VersionBound, Logger: cfg.Logger, Metrics: staging.NewMetrics(registry),
 		}),
 	}
--- a/internal/fleetdaemon/entry.go
+++ b/internal/fleetdaemon/entry.go
@@ -49,13 +49,13 @@
 		Headers:    e.Headers,
 		Balance:    balance.Config{Name: cfg.Name, Zone: cfg.Zone, VersionBound: cfg.VersionBound, Logger: cfg.Logger},
 		RetryShare: e.RetryShare, RetryFloor: e.RetryFloor, RetryWindow: e.RetryWindow,
-		Tell:        func(updates []quarantine.Update) { client.TellSuspicions(updates) },
-		TellSignals: func(updates []backpressure.Update) { client.TellSignals(updates) },
+		Tell:        func(updates []quarantine.Update) { client.SendSuspicions(updates) },
+		TellSignals: func(updates []backpressure.Update) { client.SendSignals(updates) },
 		Turns:       turns,
 		Logger:      cfg.Logger, Metrics: gateway.NewMetrics(registry),
 	})
 	viewer := follow.NewViewer(cfg.Decode, g.SetView, cfg.AnnounceInterval, cfg.Logger)
-	viewer.Reported, viewer.Renewed, viewer.Suspected, viewer.Signalled = g.Reported, g.Renewed, g.Suspected, g.LearnSignals
+	viewer.OnReport, viewer.OnRenewal, viewer.OnSuspicions, viewer.OnSignals = g.Reported, g.Renewed, g.Suspected, g.LearnSignals
 	following := followerConfig(cfg, fleetcontrol.RoleEntry, viewer)
 	following.Suspicions, following.Signals = g.Suspicions, g.Signals
 	client = follow.New(following)
@@ -79,18 +79,18 @@
 // from the client.
 type clientTurns struct{ client **follow.Client }
 
-func (t *clientTurns) AskTurn(ctx context.Context, d quarantine.Digest) bool {
-	return (*t.client).AskTurn(ctx, d)
+func (t *clientTurns) AcquireTurn(ctx context.Context, d quarantine.Digest) bool {
+	return (*t.client).AcquireTurn(ctx, d)
 }
 
-func (t *clientTurns) EndTurn(d quarantine.Digest) { (*t.client).EndTurn(d) }
+func (t *clientTurns) ReleaseTurn(d quarantine.Digest) { (*t.client).ReleaseTurn(d) }
 
 // followerConfig returns the configuration of a client that follows the control servers
 // for a viewer.
 func followerConfig(cfg *Config, role string, viewer *follow.Viewer) follow.Config {
 	return follow.Config{
 		Name: cfg.Name, Zone: cfg.Zone, Role: role, Seeds: cfg.Seeds,
-		Held: viewer.HeldConfig, Update: viewer.Update, Lost: viewer.Lost, Logger: cfg.Logger,
+		ConfigVersion: viewer.ConfigVersion, Update: viewer.Update, Lost: viewer.Lost, Logger: cfg.Logger,
 	}
 }
 
--- a/internal/follow/client.go
+++ b/internal/follow/client.go
@@ -52,14 +52,14 @@
 	// Self is the rpc address of this daemon if it is a control server: it does
 	// not follow itself.
 	Self string
-	// Most is how many control servers are followed at once; 0 is all of them.
+	// MaxServers is how many control servers are followed at once; 0 is all of them.
 	// Daemons that need only committed state follow a few.
-	Most int
+	MaxServers int
 	// Seeds returns the control servers that the settings name.
 	Seeds func() []string
-	// Held returns the version of the newest configuration that was accepted, so that
+	// ConfigVersion returns the version of the newest configuration that was accepted, so that
 	// other control servers do not send it again. It may be nil.
-	Held func() uint64
+	ConfigVersion func() uint64
 	// Suspicions returns all suspicions known to this daemon. They are sent at the start
 	// of each stream, since a control server that has restarted has none. It may be nil.
 	Suspicions func() []quarantine.Update
@@ -96,9 +96,9 @@
 	stream rpc.DRPCFleet_FollowClient
 }
 
-// Tell sends an agent's report on all open streams if all is set, else on one of
+// SendReport sends an agent's report on all open streams if all is set, else on one of
 // them. One is enough for a report that changes nothing that control servers forward.
-func (c *Client) Tell(r *rpc.AgentReport, all bool) {
+func (c *Client) SendReport(r *rpc.AgentReport, all bool) {
 	for _, stream := range c.streams() {
 		// The goroutine of a failed stream reconnects, and each report is complete
 		// in itself.
@@ -109,10 +109,10 @@
 }
 
 func (c *Client) configVersion() uint64 {
-	if c.cfg.Held == nil {
+	if c.cfg.ConfigVersion == nil {
 		return 0
 	}
-	return c.cfg.Held()
+	return c.cfg.ConfigVersion()
 }
 
 // sendConfigVersion sends the version of the accepted configuration to the other control
@@ -250,11 +250,11 @@
 	}
 }
 
-// mayFollow reports whether a control server is among the Most that rank first for
+// mayFollow reports whether a control server is among the MaxServers that rank first for
 // this daemon by rendezvous hashing, of those with an open stream and those that have
 // not failed within failurePause.
 func (c *Client) mayFollow(addr string) bool {
-	if c.cfg.Most <= 0 {
+	if c.cfg.MaxServers <= 0 {
 		return true
 	}
 	c.mu.Lock()
@@ -267,7 +267,7 @@
 			before++
 		}
 	}
-	return before < c.cfg.Most
+	return before < c.cfg.MaxServers
 }
 
 func (c *Client) weight(addr string) uint64 {
--- a/internal/follow/signals.go
+++ b/internal/follow/signals.go
@@ -30,8 +30,8 @@
 	return out
 }
 
-// TellSignals sends signals on all open streams.
-func (c *Client) TellSignals(updates []backpressure.Update) {
+// SendSignals sends signals on all open streams.
+func (c *Client) SendSignals(updates []backpressure.Update) {
 	signals := SignalsToProto(updates, clock.Now())
 	for _, stream := range c.streams() {
 		// The goroutine of a failed stream reconnects and sends all known signals.
--- a/internal/follow/suspicions.go
+++ b/internal/follow/suspicions.go
@@ -34,8 +34,8 @@
 	return out
 }
 
-// TellSuspicions sends suspicions on all open streams.
-func (c *Client) TellSuspicions(updates []quarantine.Update) {
+// SendSuspicions sends suspicions on all open streams.
+func (c *Client) SendSuspicions(updates []quarantine.Update) {
 	suspicions := SuspicionsToProto(updates, clock.Now())
 	for _, stream := range c.streams() {
 		// The goroutine of a failed stream reconnects and sends all known suspicions.
--- a/internal/follow/turns.go
+++ b/internal/follow/turns.go
@@ -16,11 +16,11 @@
 // of one more crash of a backend server.
 const turnTimeout = 150 * time.Millisecond
 
-// AskTurn requests the turn of a suspect request content, the right to dispatch it, which one
+// AcquireTurn requests the turn of a suspect request content, the right to dispatch it, which one
 // entry has at a time. It reports whether the entry may dispatch the request. Entries that are
 // connected to the same control servers ask the same one of them. Calls for one digest must
 // not be concurrent.
-func (c *Client) AskTurn(ctx context.Context, d quarantine.Digest) bool {
+func (c *Client) AcquireTurn(ctx context.Context, d quarantine.Digest) bool {
 	stream := c.turnArbiter(d)
 	if stream == nil {
 		return true
@@ -41,8 +41,8 @@
 	}
 }
 
-// EndTurn releases a turn. If the message is lost, the turn expires at the control server.
-func (c *Client) EndTurn(d quarantine.Digest) {
+// ReleaseTurn releases a turn. If the message is lost, the turn expires at the control server.
+func (c *Client) ReleaseTurn(d quarantine.Digest) {
 	if stream := c.turnArbiter(d); stream != nil {
 		_ = stream.Send(&rpc.FollowerMessage{TurnEnded: d[:]})
 	}
--- a/internal/follow/turns_test.go
+++ b/internal/follow/turns_test.go
@@ -101,8 +101,8 @@
 	for _, given := range []bool{true, false} {
 		f := &fakeControl{turn: answerTurn(given)}
 		c := f.follower(t, nil)
-		assert.Equal(t, given, c.AskTurn(t.Context(), suspectContent))
-		c.EndTurn(suspectContent)
+		assert.Equal(t, given, c.AcquireTurn(t.Context(), suspectContent))
+		c.ReleaseTurn(suspectContent)
 		m := f.next(t, func(m *rpc.FollowerMessage) bool { return len(m.TurnEnded) > 0 })
 		assert.Equal(t, suspectContent[:], m.TurnEnded)
 	}
@@ -112,11 +112,11 @@
 // requests.
 func TestEntryDispatchesWithoutAnswer(t *testing.T) {
 	c := (&fakeControl{}).follower(t, nil)
-	assert.True(t, c.AskTurn(t.Context(), suspectContent))
-	assert.True(t, New(Config{}).AskTurn(t.Context(), suspectContent))
+	assert.True(t, c.AcquireTurn(t.Context(), suspectContent))
+	assert.True(t, New(Config{}).AcquireTurn(t.Context(), suspectContent))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.False(t, c.AskTurn(ctx, suspectContent), "the caller has left")
+	assert.False(t, c.AcquireTurn(ctx, suspectContent), "the caller has left")
 }
 
 // A control server that has restarted has lost all suspicions and gets them from entries.
@@ -128,7 +128,7 @@
 	m := f.next(t, has)
 	assert.Equal(t, "s-1", m.Suspicions[0].Server)
 	assert.InDelta(t, 3000, m.Suspicions[0].AgeMs, 1000)
-	c.TellSuspicions([]quarantine.Update{{Digest: suspectContent, Server: "s-2", At: clock.Now()}})
+	c.SendSuspicions([]quarantine.Update{{Digest: suspectContent, Server: "s-2", At: clock.Now()}})
 	assert.Equal(t, "s-2", f.next(t, has).Suspicions[0].Server)
 }
 
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -43,14 +43,14 @@
 	// changed is called after each new view.
 	changed func(*View)
 
-	// Suspected is called with the suspicions of an update; it may be nil.
-	Suspected func(updates []quarantine.Update)
-	// Signalled is called with the signals of backend servers in an update; it may be nil.
-	Signalled func(updates []backpressure.Update)
-	// Reported is called with each new report of an agent, Renewed when a server has
+	// OnSuspicions is called with the suspicions of an update; it may be nil.
+	OnSuspicions func(updates []quarantine.Update)
+	// OnSignals is called with the signals of backend servers in an update; it may be nil.
+	OnSignals func(updates []backpressure.Update)
+	// OnReport is called with each new report of an agent, Renewed when a server has
 	// announced itself without a change; both may be nil.
-	Reported func(r *rpc.AgentReport)
-	Renewed  func(id string, at time.Time)
+	OnReport  func(r *rpc.AgentReport)
+	OnRenewal func(id string, at time.Time)
 
 	view atomic.Pointer[View]
 
@@ -77,8 +77,8 @@
 // View returns the newest view.
 func (v *Viewer) View() *View { return v.view.Load() }
 
-// HeldConfig returns the version of the configuration in force, 0 if there is none.
-func (v *Viewer) HeldConfig() uint64 {
+// ConfigVersion returns the version of the configuration in force, 0 if there is none.
+func (v *Viewer) ConfigVersion() uint64 {
 	if t := v.View().Table; t != nil {
 		return t.Config.Version
 	}
@@ -104,11 +104,11 @@
 		v.changed(&next)
 	}
 	v.mergeReports(u)
-	if len(u.Suspicions) > 0 && v.Suspected != nil {
-		v.Suspected(SuspicionsFromProto(u.Suspicions, clock.Now()))
+	if len(u.Suspicions) > 0 && v.OnSuspicions != nil {
+		v.OnSuspicions(SuspicionsFromProto(u.Suspicions, clock.Now()))
 	}
-	if len(u.Signals) > 0 && v.Signalled != nil {
-		v.Signalled(SignalsFromProto(u.Signals, clock.Now()))
+	if len(u.Signals) > 0 && v.OnSignals != nil {
+		v.OnSignals(SignalsFromProto(u.Signals, clock.Now()))
 	}
 }
 
@@ -120,8 +120,8 @@
 			continue
 		}
 		v.reports[r.Addr] = r
-		if v.Reported != nil {
-			v.Reported(r)
+		if v.OnReport != nil {
+			v.OnReport(r)
 		}
 	}
 }
@@ -212,8 +212,8 @@
 		}
 	}
 	for _, s := range u.Seen {
-		if v.servers.Renew(s.Id, s.Born, s.Seq, now) != directory.Unchanged && v.Renewed != nil {
-			v.Renewed(s.Id, now)
+		if v.servers.Renew(s.Id, s.Born, s.Seq, now) != directory.Unchanged && v.OnRenewal != nil {
+			v.OnRenewal(s.Id, now)
 		}
 	}
 	if now.After(v.nextForget) {
--- a/internal/gateway/suspicions.go
+++ b/internal/gateway/suspicions.go
@@ -53,16 +53,16 @@
 
 // Turns grants the exclusive right to dispatch suspect content, its turn, to one entry at a time.
 type Turns interface {
-	// AskTurn reports whether this entry has the turn now. If so, the caller must call EndTurn.
-	AskTurn(ctx context.Context, d quarantine.Digest) bool
-	EndTurn(d quarantine.Digest)
+	// AcquireTurn reports whether this entry has the turn now. If so, the caller must call EndTurn.
+	AcquireTurn(ctx context.Context, d quarantine.Digest) bool
+	ReleaseTurn(d quarantine.Digest)
 }
 
 // noTurns grants every turn, for an entry that knows no others.
 type noTurns struct{}
 
-func (noTurns) AskTurn(context.Context, quarantine.Digest) bool { return true }
-func (noTurns) EndTurn(quarantine.Digest)                       {}
+func (noTurns) AcquireTurn(context.Context, quarantine.Digest) bool { return true }
+func (noTurns) ReleaseTurn(quarantine.Digest)                       {}
 
 func newSuspicions(log zerolog.Logger, publish func([]quarantine.Update), fleet Turns) *suspicions {
 	if fleet == nil {
@@ -156,7 +156,7 @@
 	}
 	s.turns[d] = make(chan struct{})
 	s.mu.Unlock()
-	if s.fleet.AskTurn(ctx, d) {
+	if s.fleet.AcquireTurn(ctx, d) {
 		return true, nil
 	}
 	s.endLocalTurn(d)
@@ -164,7 +164,7 @@
 }
 
 func (s *suspicions) endTurn(d quarantine.Digest) {
-	s.fleet.EndTurn(d)
+	s.fleet.ReleaseTurn(d)
 	s.endLocalTurn(d)
 }
 
