--- a/cmd/lynxctl/held.go
+++ b/cmd/lynxctl/held.go
@@ -52,7 +52,7 @@
 
 // call returns the status and the body of an answer of the control server.
 func (c *heldCommand) call(ctx context.Context, method, path string) (int, []byte, error) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.addr+fleetcontrol.HeldPath+path, nil)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.addr+fleetcontrol.QuarantinePath+path, nil)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -70,14 +70,14 @@
 	if err != nil || status != http.StatusOK {
 		return c.failed(status, body, err)
 	}
-	var works []fleetcontrol.HeldWork
+	var works []fleetcontrol.QuarantineStatus
 	if err := json.Unmarshal(body, &works); err != nil {
 		return c.failed(status, body, err)
 	}
 	for _, w := range works {
 		held := ""
-		if w.HeldMs > 0 {
-			held = " for " + (time.Duration(w.HeldMs) * time.Millisecond).Round(time.Second).String()
+		if w.QuarantinedMs > 0 {
+			held = " for " + (time.Duration(w.QuarantinedMs) * time.Millisecond).Round(time.Second).String()
 		}
 		fmt.Fprintf(c.env.stdout, "%s %s%s, ended under it: %s\n", w.Content, w.Verdict, held, strings.Join(w.Servers, " "))
 	}
--- a/internal/fleetcontrol/heldapi.go
+++ b/internal/fleetcontrol/quarantineapi.go
@@ -12,28 +12,28 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// HeldPath is the path of the operators' API for suspect and quarantined contents: GET lists
+// QuarantinePath is the path of the operators' API for suspect and quarantined contents: GET lists
 // them, DELETE of a digest below it releases one.
-const HeldPath = "/v1/held"
+const QuarantinePath = "/v1/held"
 
-// HeldWork is a suspect or quarantined content in the list for operators.
-type HeldWork struct {
+// QuarantineStatus is a suspect or quarantined content in the list for operators.
+type QuarantineStatus struct {
 	Content string   `json:"content"`
 	Verdict string   `json:"verdict"`
 	Servers []string `json:"servers"`
-	// HeldMs is for how long the content has been quarantined, 0 if it is not.
-	HeldMs int64 `json:"held_ms"`
+	// QuarantinedMs is for how long the content has been quarantined, 0 if it is not.
+	QuarantinedMs int64 `json:"held_ms"`
 }
 
-// MountHeld adds the operators' API for suspect and quarantined contents.
-func (s *Server) MountHeld(e *echo.Echo) {
-	e.GET(HeldPath, func(c echo.Context) error { return c.JSON(http.StatusOK, s.hub.suspectContents(clock.Now())) })
-	e.DELETE(HeldPath+"/:content", func(c echo.Context) error {
+// MountQuarantine adds the operators' API for suspect and quarantined contents.
+func (s *Server) MountQuarantine(e *echo.Echo) {
+	e.GET(QuarantinePath, func(c echo.Context) error { return c.JSON(http.StatusOK, s.hub.suspectContents(clock.Now())) })
+	e.DELETE(QuarantinePath+"/:content", func(c echo.Context) error {
 		d, err := quarantine.ParseDigest(c.Param("content"))
 		if err != nil {
 			return c.JSON(http.StatusBadRequest, map[string]string{"error": err.Error()})
 		}
-		if err := s.LetGo(c.Request().Context(), d, c.RealIP()); err != nil {
+		if err := s.Release(c.Request().Context(), d, c.RealIP()); err != nil {
 			return c.JSON(http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
 		}
 		return c.NoContent(http.StatusNoContent)
@@ -41,23 +41,23 @@
 }
 
 // suspectContents lists the suspect and quarantined contents.
-func (h *hub) suspectContents(now time.Time) []HeldWork {
+func (h *hub) suspectContents(now time.Time) []QuarantineStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := []HeldWork{}
+	out := []QuarantineStatus{}
 	for _, e := range h.suspects.Entries(now) {
-		w := HeldWork{Content: e.Digest.String(), Verdict: e.Verdict.String(), Servers: e.Servers}
+		w := QuarantineStatus{Content: e.Digest.String(), Verdict: e.Verdict.String(), Servers: e.Servers}
 		if !e.Since.IsZero() {
-			w.HeldMs = now.Sub(e.Since).Milliseconds()
+			w.QuarantinedMs = now.Sub(e.Since).Milliseconds()
 		}
 		out = append(out, w)
 	}
 	return out
 }
 
-// LetGo releases a content: earlier crashes no longer count against it. by names the caller
+// Release ends the quarantine of a content: earlier crashes no longer count against it. by names the caller
 // in the audit log. After ErrUnavailable the release may or may not have taken effect.
-func (s *Server) LetGo(ctx context.Context, d quarantine.Digest, by string) error {
+func (s *Server) Release(ctx context.Context, d quarantine.Digest, by string) error {
 	err := s.submit(ctx, &rpc.FleetCommand{Lifted: d[:]})
 	if err == nil {
 		now := clock.Now()
--- a/internal/fleetcontrol/server.go
+++ b/internal/fleetcontrol/server.go
@@ -205,8 +205,8 @@
 	return s.hub.announce(ctx, b)
 }
 
-// Refused counts and logs an announcement of this id that could not be decoded.
-func (s *Server) Refused(id string, err error) {
+// CountRefused counts and logs an announcement of this id that could not be decoded.
+func (s *Server) CountRefused(id string, err error) {
 	s.hub.refused.add(clock.Now(), id, reasonUnreadable, err)
 }
 
--- a/internal/fleetdaemon/control.go
+++ b/internal/fleetdaemon/control.go
@@ -52,7 +52,7 @@
 	}
 	e := echo.New()
 	cfg.Control.Mount(e, server)
-	server.MountHeld(e)
+	server.MountQuarantine(e)
 	return &controlRole{server: server, http: &http.Server{
 		Addr: cfg.Control.OperatorsAddr, Handler: e, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 	}}, nil
--- a/internal/fleetdaemon/entry.go
+++ b/internal/fleetdaemon/entry.go
@@ -49,13 +49,13 @@
 		Headers:    e.Headers,
 		Balance:    balance.Config{Name: cfg.Name, Zone: cfg.Zone, VersionBound: cfg.VersionBound, Logger: cfg.Logger},
 		RetryShare: e.RetryShare, RetryFloor: e.RetryFloor, RetryWindow: e.RetryWindow,
-		Tell:        func(updates []quarantine.Update) { client.SendSuspicions(updates) },
-		TellSignals: func(updates []backpressure.Update) { client.SendSignals(updates) },
-		Turns:       turns,
-		Logger:      cfg.Logger, Metrics: gateway.NewMetrics(registry),
+		PublishSuspicions: func(updates []quarantine.Update) { client.SendSuspicions(updates) },
+		PublishSignals:    func(updates []backpressure.Update) { client.SendSignals(updates) },
+		Turns:             turns,
+		Logger:            cfg.Logger, Metrics: gateway.NewMetrics(registry),
 	})
 	viewer := follow.NewViewer(cfg.Decode, g.SetView, cfg.AnnounceInterval, cfg.Logger)
-	viewer.OnReport, viewer.OnRenewal, viewer.OnSuspicions, viewer.OnSignals = g.Reported, g.Renewed, g.Suspected, g.LearnSignals
+	viewer.OnReport, viewer.OnRenewal, viewer.OnSuspicions, viewer.OnSignals = g.AddReport, g.Renew, g.MergeSuspicions, g.MergeSignals
 	following := followerConfig(cfg, fleetcontrol.RoleEntry, viewer)
 	following.Suspicions, following.Signals = g.Suspicions, g.Signals
 	client = follow.New(following)
@@ -108,7 +108,7 @@
 // leave reports the entry as not ready, accepts connections until the load balancer has
 // removed it, and then waits for the requests in progress.
 func (r *entryRole) leave(ctx context.Context) error {
-	r.gateway.Leave()
+	r.gateway.StartDraining()
 	timer := time.NewTimer(acceptAfterLeave)
 	defer timer.Stop()
 	select {
--- a/internal/follow/turns.go
+++ b/internal/follow/turns.go
@@ -79,7 +79,7 @@
 	c.turnWaiters[d] = answer
 }
 
-// deliverTurns delivers a control server's answers to the waiting calls of AskTurn.
+// deliverTurns delivers a control server's answers to the waiting calls of AcquireTurn.
 func (c *Client) deliverTurns(turns []*rpc.Turn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -47,7 +47,7 @@
 	OnSuspicions func(updates []quarantine.Update)
 	// OnSignals is called with the signals of backend servers in an update; it may be nil.
 	OnSignals func(updates []backpressure.Update)
-	// OnReport is called with each new report of an agent, Renewed when a server has
+	// OnReport is called with each new report of an agent, OnRenewal when a server has
 	// announced itself without a change; both may be nil.
 	OnReport  func(r *rpc.AgentReport)
 	OnRenewal func(id string, at time.Time)
@@ -112,7 +112,7 @@
 	}
 }
 
-// mergeReports calls Reported for the reports that are newer than the known ones.
+// mergeReports calls OnReport for the reports that are newer than the known ones.
 func (v *Viewer) mergeReports(u *rpc.FleetUpdate) {
 	for _, r := range u.Reports {
 		known := v.reports[r.Addr]
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -38,7 +38,7 @@
 
 func (e *entry) quarantineContent(path string) {
 	now := time.Now()
-	e.Suspected([]quarantine.Update{{Digest: e.contentOf(path), Server: "s-1", At: now}, {Digest: e.contentOf(path), At: now}})
+	e.MergeSuspicions([]quarantine.Update{{Digest: e.contentOf(path), Server: "s-1", At: now}, {Digest: e.contentOf(path), At: now}})
 }
 
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
@@ -151,7 +151,7 @@
 		good(w, r)
 	})
 	e := newEntry(t, b)
-	e.Suspected([]quarantine.Update{{Digest: e.contentOf("/unsafe/x"), Server: "s-1", At: time.Now()}})
+	e.MergeSuspicions([]quarantine.Update{{Digest: e.contentOf("/unsafe/x"), Server: "s-1", At: time.Now()}})
 	var group sync.WaitGroup
 	for range 3 {
 		group.Go(func() { assert.Equal(t, http.StatusOK, e.ask(t, http.MethodPost, "/unsafe/x").status) })
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -78,10 +78,10 @@
 	RetryShare  float64
 	RetryFloor  int
 	RetryWindow time.Duration
-	// Tell sends reports of suspect content to other entries; it may be nil.
-	Tell func([]quarantine.Update)
-	// TellSignals sends the signals of backend servers to other entries; it may be nil.
-	TellSignals func([]backpressure.Update)
+	// PublishSuspicions sends reports of suspect content to other entries; it may be nil.
+	PublishSuspicions func([]quarantine.Update)
+	// PublishSignals sends the signals of backend servers to other entries; it may be nil.
+	PublishSignals func([]backpressure.Update)
 	// Turns grants the turns of suspect content across entries; it may be nil.
 	Turns   Turns
 	Logger  zerolog.Logger
@@ -117,11 +117,11 @@
 	b := balance.New(cfg.Balance)
 	g := &Gateway{
 		cfg: cfg, log: cfg.Logger, balancer: b, queues: newWaitQueues(b),
-		suspects: newSuspicions(cfg.Logger, cfg.Tell, cfg.Turns),
+		suspects: newSuspicions(cfg.Logger, cfg.PublishSuspicions, cfg.Turns),
 		start:    clock.Now(), budgets: map[string]*retry.Budget{},
 	}
 	b.OnSlotFreed(g.queues.grant)
-	b.OnSignals(cfg.TellSignals)
+	b.OnSignals(cfg.PublishSignals)
 	g.view.Store(&follow.View{})
 	return g
 }
@@ -135,25 +135,25 @@
 	g.updateRetryFloors(clock.Now())
 }
 
-// Reported adds an agent's report.
-func (g *Gateway) Reported(r *rpc.AgentReport) {
+// AddReport adds an agent's report.
+func (g *Gateway) AddReport(r *rpc.AgentReport) {
 	g.balancer.Reported(clock.Now(), balance.Report{
 		Addr: r.Addr, StartUnixMs: r.Born, Loading: r.Loading, Models: follow.ModelsFromProto(r.Models),
 		Running: int(r.Running), Waiting: int(r.Waiting),
 	})
 }
 
-// Renewed records the time of a backend server's last heartbeat.
-func (g *Gateway) Renewed(id string, at time.Time) { g.balancer.Announced(id, at) }
+// Renew records the time of a backend server's last heartbeat.
+func (g *Gateway) Renew(id string, at time.Time) { g.balancer.Announced(id, at) }
 
-// Suspected adds reports of other entries on suspect content.
-func (g *Gateway) Suspected(updates []quarantine.Update) { g.suspects.merge(clock.Now(), updates) }
+// MergeSuspicions adds reports of other entries on suspect content.
+func (g *Gateway) MergeSuspicions(u []quarantine.Update) { g.suspects.merge(clock.Now(), u) }
 
 // Suspicions returns this entry's records of suspect content.
 func (g *Gateway) Suspicions() []quarantine.Update { return g.suspects.all() }
 
-// LearnSignals adds signals of backend servers that other entries received.
-func (g *Gateway) LearnSignals(u []backpressure.Update) { g.balancer.ApplyUpdates(clock.Now(), u) }
+// MergeSignals adds signals of backend servers that other entries received.
+func (g *Gateway) MergeSignals(u []backpressure.Update) { g.balancer.ApplyUpdates(clock.Now(), u) }
 
 // Signals returns the signals of backend servers that are known here.
 func (g *Gateway) Signals() []backpressure.Update { return g.balancer.Signals() }
@@ -169,8 +169,8 @@
 	return "", true
 }
 
-// Leave makes the entry not ready; from then on each answer closes its connection.
-func (g *Gateway) Leave() { g.leaving.Store(true) }
+// StartDraining makes the entry not ready; from then on each answer closes its connection.
+func (g *Gateway) StartDraining() { g.leaving.Store(true) }
 
 // InFlight returns the number of requests in progress.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
--- a/internal/gateway/suspicions.go
+++ b/internal/gateway/suspicions.go
@@ -53,7 +53,7 @@
 
 // Turns grants the exclusive right to dispatch suspect content, its turn, to one entry at a time.
 type Turns interface {
-	// AcquireTurn reports whether this entry has the turn now. If so, the caller must call EndTurn.
+	// AcquireTurn reports whether this entry has the turn now. If so, the caller must call ReleaseTurn.
 	AcquireTurn(ctx context.Context, d quarantine.Digest) bool
 	ReleaseTurn(d quarantine.Digest)
 }
