--- a/internal/balance/sizes_load_test.go
+++ b/internal/balance/sizes_load_test.go
@@ -76,7 +76,7 @@
 
 func (a sameForAll) asked(r *sizedRequest) {
 	if !r.retry {
-		a.Asked(r.objective(), r.read)
+		a.Observe(r.objective(), r.read)
 	}
 }
 func (sameForAll) ended(*sizedRequest, bool) {}
@@ -129,7 +129,7 @@
 	for i, b := range p.entries {
 		p.allow = append(p.allow, way())
 		p.queues = append(p.queues, waiting.New())
-		b.OnRoom(func() { p.grantSlots(i) })
+		b.OnSlotFreed(func() { p.grantSlots(i) })
 	}
 	for kind := range sizedObjectives {
 		for band := range sizedBounds {
@@ -161,7 +161,7 @@
 	})
 }
 
-func (p *sizedSimulation) want(entry int, r *sizedRequest, waited time.Duration) Want {
+func (p *sizedSimulation) want(entry int, r *sizedRequest, waited time.Duration) Requirements {
 	w := want()
 	w.Read, w.Budget = r.read, max(p.allow[entry].longest(r)-waited, sizedMinWait)
 	if !r.retry {
@@ -174,22 +174,22 @@
 	p.allow[entry].asked(r)
 	w := p.want(entry, r, 0)
 	pick := p.entries[entry].Pick
-	if r.retry && p.queues[entry].FirstAttempts() {
-		pick = p.entries[entry].Look
+	if r.retry && p.queues[entry].HasFirstAttempts() {
+		pick = p.entries[entry].Evaluate
 	}
-	c, room := pick(p.now, w)
+	c, availability := pick(p.now, w)
 	if c.Server != nil {
 		p.dispatch(entry, &c, r)
 		return
 	}
-	waits := &waiting.Request{CameBack: r.retry, Since: p.now, By: waiting.Until(p.now, r.objective(), r.retry)}
-	if room.Soonest > w.Budget+waits.By.Sub(p.now) {
+	waits := &waiting.Request{ClientRetry: r.retry, Since: p.now, WaitDeadline: waiting.WaitDeadline(p.now, r.objective(), r.retry)}
+	if availability.Soonest > w.Budget+waits.WaitDeadline.Sub(p.now) {
 		p.refuse(entry, r)
 		return
 	}
 	p.queues[entry].Add(waits)
 	p.waiters[waits] = r
-	p.after(waits.By.Sub(p.now), func() {
+	p.after(waits.WaitDeadline.Sub(p.now), func() {
 		if p.queues[entry].Remove(waits) {
 			delete(p.waiters, waits)
 			p.refuse(entry, r)
@@ -200,7 +200,7 @@
 // grantSlots dispatches waiting requests in their order.
 func (p *sizedSimulation) grantSlots(entry int) {
 	misses := 0
-	for _, waits := range p.queues[entry].InOrder(p.now) {
+	for _, waits := range p.queues[entry].Ordered(p.now) {
 		r := p.waiters[waits]
 		c, _ := p.entries[entry].Pick(p.now, p.want(entry, r, p.now.Sub(waits.Since)))
 		if c.Server == nil {
--- a/internal/fleetcontrol/follower.go
+++ b/internal/fleetcontrol/follower.go
@@ -29,9 +29,9 @@
 	// reports holds the addresses whose report is to be sent.
 	reports map[string]bool
 	// suspicions are to be sent.
-	suspicions []quarantine.News
+	suspicions []quarantine.Update
 	// signals of backend servers are to be sent.
-	signals []backpressure.News
+	signals []backpressure.Update
 	// turns are answers to be sent.
 	turns []*rpc.Turn
 	// configVersion is the newest configuration that the follower was sent or has
@@ -197,7 +197,7 @@
 	}
 	for id := range f.renewed {
 		if b := h.servers.Get(id); b != nil && !f.changed[id] {
-			u.Seen = append(u.Seen, &rpc.ServerSeen{Id: id, Born: b.Born, Seq: b.Seq})
+			u.Seen = append(u.Seen, &rpc.ServerSeen{Id: id, Born: b.StartUnixMs, Seq: b.Seq})
 		}
 	}
 	for addr := range f.reports {
--- a/internal/gateway/free_connection_test.go
+++ b/internal/gateway/free_connection_test.go
@@ -24,12 +24,12 @@
 	e := newEntry(t, newBackend(t, "b-breaks", events(2)), takes)
 	e.onlyEngines()
 	// The entry's connections to the server are all in use for 0.3 s.
-	breaks, _ := e.balancer.Pick(time.Now(), balance.Want{Service: "engine", Model: "m", Budget: time.Second})
-	choice, _ := e.balancer.Pick(time.Now(), balance.Want{Service: "engine", Model: "m", Budget: time.Second, Exclude: []*balance.Server{breaks.Server}})
-	e.balancer.Done(&breaks, time.Now(), balance.EndedElse)
-	e.balancer.Done(&choice, time.Now(), balance.EndedElse)
+	breaks, _ := e.balancer.Pick(time.Now(), balance.Requirements{Service: "engine", Model: "m", Budget: time.Second})
+	choice, _ := e.balancer.Pick(time.Now(), balance.Requirements{Service: "engine", Model: "m", Budget: time.Second, Exclude: []*balance.Server{breaks.Server}})
+	e.balancer.Done(&breaks, time.Now(), balance.ResultUnknown)
+	e.balancer.Done(&choice, time.Now(), balance.ResultUnknown)
 	require.Equal(t, "b-takes", choice.Server.ID)
-	choice.Server.Pool.SetMax(1)
+	choice.Server.Pool.SetMaxOpen(1)
 	go func() {
 		request := &dispatch.Request{Method: http.MethodGet, Bytes: []byte("GET /hold HTTP/1.1\r\nHost: h\r\nX-Id: hold\r\n\r\n"), IDHeader: headers.RequestID, ID: "hold"}
 		answer, err := choice.Server.Pool.Send(t.Context(), request, time.Now().Add(time.Second))
--- a/internal/retry/attempts.go
+++ b/internal/retry/attempts.go
@@ -81,19 +81,19 @@
 	return &Attempts{policy: policy, req: req}
 }
 
-// Made returns the number of attempts that have ended.
-func (a *Attempts) Made() int { return a.made }
+// Count returns the number of attempts that have ended.
+func (a *Attempts) Count() int { return a.made }
 
-// Ended records the outcome of an attempt and decides whether to retry. begun
+// Record adds the outcome of an attempt and decides whether to retry. begun
 // means that the caller has already been sent part of the answer and that the
 // answer cannot be resumed. If Retry is true, the retry has already been
 // charged to the budget, unless its reason is exempt.
-func (a *Attempts) Ended(o outcome.Outcome, begun bool, now time.Time, budget *Budget) Decision {
+func (a *Attempts) Record(o outcome.Outcome, begun bool, now time.Time, budget *Budget) Decision {
 	a.made++
 	if a.made == 1 {
 		a.worst = o
 	} else {
-		a.worst = outcome.Worse(a.worst, o)
+		a.worst = outcome.Combine(a.worst, o)
 	}
 	if reason := a.refuseRetry(o, begun); reason != "" {
 		return a.final(reason)
@@ -161,21 +161,21 @@
 
 // finalReasons holds the reasons for which another attempt would not help.
 var finalReasons = map[outcome.Reason]bool{
-	outcome.InvalidRequest:   true,
-	outcome.Unauthorized:     true,
-	outcome.NotFound:         true,
-	outcome.BodyTooLarge:     true,
-	outcome.MissingKey:       true,
-	outcome.KeyReused:        true,
-	outcome.KeyInProgress:    true,
-	outcome.ClaimUnknown:     true,
-	outcome.ClaimsFull:       true,
-	outcome.RateLimited:      true,
-	outcome.TokensLimited:    true,
-	outcome.Cancelled:        true,
-	outcome.DeadlineExceeded: true,
-	outcome.NoBackend:        true,
-	outcome.NoQuorum:         true,
+	outcome.InvalidRequest:           true,
+	outcome.Unauthorized:             true,
+	outcome.NotFound:                 true,
+	outcome.BodyTooLarge:             true,
+	outcome.MissingIdempotencyKey:    true,
+	outcome.IdempotencyKeyReused:     true,
+	outcome.IdempotencyKeyInProgress: true,
+	outcome.ClaimUnknown:             true,
+	outcome.ClaimsFull:               true,
+	outcome.RateLimited:              true,
+	outcome.TokensLimited:            true,
+	outcome.Cancelled:                true,
+	outcome.DeadlineExceeded:         true,
+	outcome.NoBackend:                true,
+	outcome.NoQuorum:                 true,
 }
 
 // jitter returns a number in [0, 1) that depends only on the seed and the
