--- a/internal/consensus/auto_join_test.go
+++ b/internal/consensus/auto_join_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// autoJoinCluster returns a settled cluster that admits newcomers and retires lost voters.
+// autoJoinCluster returns a settled cluster that adds servers that ask to join and removes lost voters.
 func autoJoinCluster(t *testing.T, size int) *sim {
 	s := newSim(t, size, 7)
 	s.autoJoin = true
@@ -34,12 +34,12 @@
 	s.write(t, "accepted")
 	lost := s.others(s.leader())[0]
 	s.isolate(lost.id.Name)
-	s.rounds(4 * simRetireTicks)
+	s.rounds(4 * simRemoveTicks)
 	require.Len(t, s.voters(), 3, "one of three voters was removed, which doesn't lower the quorum")
 
 	s.addServer("s9")
 	s.isolate(lost.id.Name)
-	s.rounds(4 * simRetireTicks)
+	s.rounds(4 * simRemoveTicks)
 	require.Len(t, s.voters(), 3)
 	require.Contains(t, s.voters(), "s9")
 	require.NotContains(t, s.voters(), lost.id.Name)
@@ -47,14 +47,14 @@
 
 	// The removed server is reachable again, and is added again.
 	clear(s.cut)
-	s.rounds(4 * simRetireTicks)
+	s.rounds(4 * simRemoveTicks)
 	require.Contains(t, s.voters(), lost.id.Name)
 }
 
 // simCatchUpTicks is the time a successor has to catch up before a second disk may be lost.
-// Its ratio to simRetireTicks is that of bounds.catchUpS (4 s) to the time after which a
-// control server is retired (6 s).
-const simCatchUpTicks = simRetireTicks * 4 / 6
+// Its ratio to simRemoveTicks is that of bounds.catchUpS (4 s) to the time after which a
+// control server is removed (6 s).
+const simCatchUpTicks = simRemoveTicks * 4 / 6
 
 // A voter is lost for good. Once its successor has had the time to catch up, another server
 // may lose its disk, even the leader.
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -9,10 +9,10 @@
 //
 // A blank server (no snapshot, no entries) never votes and never campaigns. A
 // server that is not a member by the committed memberships it knows, such as a
-// blank one, sends hellos to the servers in its settings until it is added.
+// blank one, sends join requests to the servers in its settings until it is added.
 //
 // The initial voter with the lowest name coordinates the bootstrap. While it is
-// blank it collects the identities of the others, from hellos whose sender is
+// blank it collects the identities of the others, from join requests whose sender is
 // blank and which repeat a nonce drawn since the coordinator's start. When it
 // has all of them it creates the bootstrap snapshot, which lists all
 // identities, and sends it to each. It campaigns only when every initial voter
@@ -23,17 +23,17 @@
 //   - from the first election on each initial voter knows the identities that
 //     count, and a wiped server has another one.
 //
-// If a server sends a hello with the name of a member but another incarnation,
+// If a server sends a join request with the name of a member but another incarnation,
 // the leader replaces the member: one change removes the old incarnation and
 // adds the new one as a learner, a second one makes it a voter again once it
 // has caught up.
 
 // joinState is the state for bootstrap and joining.
 type joinState struct {
-	// nonce is sent in welcomes; hellos that do not repeat it are stale.
+	// nonce is sent to servers that ask to join; join requests that do not repeat it are stale.
 	nonce uint64
-	// welcomes holds the latest nonce received from each server, by name.
-	welcomes map[string]uint64
+	// nonces holds the latest nonce received from each server, by name.
+	nonces map[string]uint64
 	// requests holds the servers that asked to join with the current nonce, by name.
 	requests map[string]joinRequest
 	// acked holds, on the coordinator, the voters that confirmed the bootstrap snapshot.
@@ -48,12 +48,12 @@
 
 func (j *joinState) init(c *Core) {
 	j.nonce = c.rand.Uint64()
-	j.welcomes = map[string]uint64{}
+	j.nonces = map[string]uint64{}
 	j.requests = map[string]joinRequest{}
 	j.acked = map[ServerID]bool{}
 }
 
-// invalidateRequests invalidates all hellos received so far: their senders may be gone.
+// invalidateRequests invalidates all join requests received so far: their senders may be gone.
 func (j *joinState) invalidateRequests(c *Core) {
 	j.nonce = c.rand.Uint64()
 	clear(j.requests)
@@ -68,7 +68,7 @@
 	if c.blank() {
 		return false
 	}
-	if c.log.lastIndex() > FoundingIndex || c.hard.CurrentTerm > FoundingTerm {
+	if c.log.lastIndex() > BootstrapIndex || c.hard.CurrentTerm > BootstrapTerm {
 		return true
 	}
 	members, _ := c.log.membership()
@@ -87,7 +87,7 @@
 	return slices.Contains(c.cfg.Peers, c.id.Name) && slices.Min(c.cfg.Peers) == c.id.Name
 }
 
-// tickJoin sends hellos while this server is not a member, and continues a bootstrap.
+// tickJoin sends join requests while this server is not a member, and continues a bootstrap.
 func (c *Core) tickJoin() {
 	interval := c.cfg.HeartbeatTicks
 	if !c.blank() {
@@ -105,30 +105,30 @@
 	if c.blank() && bootstrapping {
 		c.tryBootstrap()
 	}
-	c.sendHello()
+	c.sendJoinRequest()
 	c.sendBootstrapSnapshot()
 }
 
 // mayHaveBeenRemoved reports whether this server may have been removed while it was
-// unreachable: it knows no leader. A leader ignores the hello of a member.
+// unreachable: it knows no leader. A leader ignores the join request of a member.
 func (c *Core) mayHaveBeenRemoved() bool {
-	return c.cfg.RetireTicks > 0 && c.role != Leader && c.leader.IsZero()
+	return c.cfg.RemoveLearnerTicks > 0 && c.role != Leader && c.leader.IsZero()
 }
 
-func (c *Core) sendHello() {
-	for _, name := range c.helloTargets() {
+func (c *Core) sendJoinRequest() {
+	for _, name := range c.joinTargets() {
 		c.send(Message{
-			Kind: KindHello, To: ServerID{Name: name}, Addr: c.cfg.Addr,
-			Context: c.join.welcomes[name], Commit: c.log.lastIndex(),
+			Kind: KindJoinRequest, To: ServerID{Name: name}, Addr: c.cfg.Addr,
+			Context: c.join.nonces[name], Commit: c.log.lastIndex(),
 		})
 	}
 }
 
-// helloTargets returns the servers in the settings and those that have sent a
-// welcome, which may include a leader that is not in the settings.
-func (c *Core) helloTargets() []string {
+// joinTargets returns the servers in the settings and those that have sent a
+// nonce, which may include a leader that is not in the settings.
+func (c *Core) joinTargets() []string {
 	names := slices.Clone(c.cfg.Peers)
-	for name := range c.join.welcomes {
+	for name := range c.join.nonces {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -146,12 +146,12 @@
 			continue
 		}
 		snapshot := c.log.snapshot
-		c.send(Message{Kind: KindFound, To: id, Snapshot: &snapshot})
+		c.send(Message{Kind: KindBootstrap, To: id, Snapshot: &snapshot})
 	}
 }
 
-// handleHello handles a request to join; a follower forwards it to the leader.
-func (c *Core) handleHello(m Message) {
+// handleJoinRequest handles a request to join; a follower forwards it to the leader.
+func (c *Core) handleJoinRequest(m Message) {
 	if m.To.Name != c.id.Name || m.From.Name == c.id.Name || m.From.Incarnation == 0 {
 		return
 	}
@@ -165,18 +165,18 @@
 		return
 	}
 	if m.Context != c.join.nonce {
-		c.send(Message{Kind: KindWelcome, To: m.From, Context: c.join.nonce, Addr: c.cfg.Addr})
+		c.send(Message{Kind: KindJoinNonce, To: m.From, Context: c.join.nonce, Addr: c.cfg.Addr})
 		return
 	}
 	c.join.requests[m.From.Name] = joinRequest{member: Member{ID: m.From, Addr: m.Addr}, blank: m.Commit == 0}
 	if c.role == Leader {
 		c.replaceIncarnation(m.From, m.Addr)
-		c.admitNewcomer(m.From, m.Addr)
+		c.autoAddServer(m.From, m.Addr)
 	}
 }
 
-func (c *Core) handleWelcome(m Message) {
-	c.join.welcomes[m.From.Name] = m.Context
+func (c *Core) handleJoinNonce(m Message) {
+	c.join.nonces[m.From.Name] = m.Context
 }
 
 // tryBootstrap creates the bootstrap snapshot once all initial voters have asked to join.
@@ -192,11 +192,11 @@
 		}
 		members = members.with(request.member)
 	}
-	c.installBootstrapSnapshot(Snapshot{Index: FoundingIndex, Term: FoundingTerm, Membership: members})
+	c.installBootstrapSnapshot(Snapshot{Index: BootstrapIndex, Term: BootstrapTerm, Membership: members})
 }
 
 func (c *Core) installBootstrapSnapshot(snapshot Snapshot) {
-	c.hard = HardState{CurrentTerm: FoundingTerm}
+	c.hard = HardState{CurrentTerm: BootstrapTerm}
 	c.log.restore(snapshot)
 	c.newSnapshot = &snapshot
 }
@@ -207,12 +207,12 @@
 		return
 	}
 	// After a crash the term may be durable without the snapshot.
-	if c.blank() && c.hard.CurrentTerm <= FoundingTerm {
+	if c.blank() && c.hard.CurrentTerm <= BootstrapTerm {
 		c.installBootstrapSnapshot(*s)
 	}
 	current := c.log.snapshot
-	if current.Index == FoundingIndex && reflect.DeepEqual(current.Membership, s.Membership) {
-		c.send(Message{Kind: KindFoundReply, To: m.From})
+	if current.Index == BootstrapIndex && reflect.DeepEqual(current.Membership, s.Membership) {
+		c.send(Message{Kind: KindBootstrapReply, To: m.From})
 	}
 }
 
@@ -221,7 +221,7 @@
 		return
 	}
 	c.join.acked[m.From] = true
-	if c.role == Follower && c.hard.CurrentTerm == FoundingTerm && c.mayCampaign() {
+	if c.role == Follower && c.hard.CurrentTerm == BootstrapTerm && c.mayCampaign() {
 		c.campaignPreVote()
 	}
 }
@@ -229,7 +229,7 @@
 // campaignIfBootstrapped starts the first election once the bootstrap snapshot is
 // durable. A cluster of one server receives no message that would start it.
 func (c *Core) campaignIfBootstrapped() {
-	if c.role == Follower && c.hard.CurrentTerm == FoundingTerm && c.isBootstrapCoordinator() && c.mayCampaign() {
+	if c.role == Follower && c.hard.CurrentTerm == BootstrapTerm && c.isBootstrapCoordinator() && c.mayCampaign() {
 		c.campaignPreVote()
 	}
 }
--- a/internal/consensus/checks_test.go
+++ b/internal/consensus/checks_test.go
@@ -64,7 +64,7 @@
 			durable = hard == HardState{CurrentTerm: m.Term, VotedFor: m.To}
 		case m.Kind == KindAppendEntriesReply && !m.Reject:
 			durable = hard.CurrentTerm == m.Term && last >= m.Index
-		case m.Kind == KindFoundReply:
+		case m.Kind == KindBootstrapReply:
 			durable = v.disk.Snapshot.Index > 0
 		}
 		if !durable {
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -23,15 +23,15 @@
 	KeepEntries uint64
 	// JoinOnly lets a blank server only join a cluster, not bootstrap one.
 	JoinOnly bool
-	// AdmitNewcomers makes a leader add any server that asks to join; without
+	// AutoAddServers makes a leader add any server that asks to join; without
 	// it only operators add servers.
-	AdmitNewcomers bool
-	// RetireTicks is the time without contact after which a leader removes a
+	AutoAddServers bool
+	// RemoveLearnerTicks is the time without contact after which a leader removes a
 	// learner; 0 disables the removal of members.
-	RetireTicks int
-	// SpareTicks is the time without contact after which a leader removes a voter if the
+	RemoveLearnerTicks int
+	// RemoveVoterTicks is the time without contact after which a leader removes a voter if the
 	// number of voters is even and above MinVoters; 0 means RetireTicks.
-	SpareTicks int
+	RemoveVoterTicks int
 	// MinVoters is the number of voters up to which none is removed for lack of contact:
 	// twice the number of tolerated disk losses plus one.
 	MinVoters int
@@ -127,21 +127,21 @@
 
 // Step handles one message from another server.
 func (c *Core) Step(m Message) {
-	if m.Kind == KindHello {
-		c.handleHello(m)
+	if m.Kind == KindJoinRequest {
+		c.handleJoinRequest(m)
 		return
 	}
 	if m.To != c.id {
 		return // addressed to another incarnation of this server
 	}
 	switch m.Kind {
-	case KindWelcome:
-		c.handleWelcome(m)
+	case KindJoinNonce:
+		c.handleJoinNonce(m)
 		return
-	case KindFound:
+	case KindBootstrap:
 		c.handleFound(m)
 		return
-	case KindFoundReply:
+	case KindBootstrapReply:
 		c.handleFoundReply(m)
 		return
 	case KindReadIndex:
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -130,7 +130,7 @@
 	s.rounds(4)
 	members, _ := leader.core.log.membership()
 	_, _, err = leader.core.proposeMembership(members.without(others[1].id.Name).without(others[2].id.Name))
-	require.ErrorIs(t, err, ErrBadChange)
+	require.ErrorIs(t, err, ErrInvalidChange)
 	_, _, err = leader.core.ProposeRemove(others[1].id.Name)
 	require.NoError(t, err)
 }
@@ -202,7 +202,7 @@
 	s.rounds(20 * simElectionTicks)
 	require.True(t, s.servers["s0"].core.blank(), "bootstrapped without contact to s2")
 	clear(s.cut)
-	s.dropIf = func(m Message) bool { return m.Kind == KindFound && m.To.Name == "s2" }
+	s.dropIf = func(m Message) bool { return m.Kind == KindBootstrap && m.To.Name == "s2" }
 	s.rounds(20 * simElectionTicks)
 	require.False(t, s.servers["s1"].core.blank())
 	require.True(t, s.servers["s2"].core.blank())
@@ -211,34 +211,34 @@
 	s.requireSettled(t)
 }
 
-// A hello that was delayed until its server was wiped again must not replace the
+// A join request that was delayed until its server was wiped again must not replace the
 // current incarnation by the lost one.
 func TestStaleHelloReplacesNoMember(t *testing.T) {
 	s := settledCluster(t, 3)
 	leader := s.leader()
 	victim := s.others(leader)[0]
 	s.wipe(victim)
-	var hello Message // accepted by the leader
+	var joinRequest Message // accepted by the leader
 	s.dropIf = func(m Message) bool {
-		if m.Kind == KindHello && m.To.Name == leader.id.Name && m.Context == leader.core.join.nonce {
-			hello = m
+		if m.Kind == KindJoinRequest && m.To.Name == leader.id.Name && m.Context == leader.core.join.nonce {
+			joinRequest = m
 		}
 		return false
 	}
 	s.requireSettled(t)
-	require.Equal(t, victim.id, hello.From)
+	require.Equal(t, victim.id, joinRequest.From)
 	s.dropIf = nil
 	s.wipe(victim)
 	s.requireSettled(t)
 	victim.frozen = true // not active, so that only the nonce protects it
 	s.rounds(2 * simElectionTicks)
 	require.Equal(t, Leader, leader.core.role)
-	leader.core.Step(hello)
+	leader.core.Step(joinRequest)
 	s.process(leader)
 	require.True(t, leader.core.State().Members.IsVoter(victim.id))
 }
 
-// A server whose hello is from before the last change of leader or membership may
+// A server whose join request is from before the last change of leader or membership may
 // be gone, so it can't be added.
 func TestLearnerNotAddedAfterStaleHello(t *testing.T) {
 	s := settledCluster(t, 3)
@@ -263,18 +263,18 @@
 	s := settledCluster(t, 3)
 	leader := s.leader()
 	active := s.others(leader)[0]
-	hello := Message{
-		Kind: KindHello, From: ServerID{Name: active.id.Name, Incarnation: 99}, To: ServerID{Name: leader.id.Name},
+	joinRequest := Message{
+		Kind: KindJoinRequest, From: ServerID{Name: active.id.Name, Incarnation: 99}, To: ServerID{Name: leader.id.Name},
 		Context: leader.core.join.nonce,
 	}
-	leader.core.Step(hello)
+	leader.core.Step(joinRequest)
 	s.process(leader)
 	s.rounds(simElectionTicks)
 	require.True(t, leader.core.State().Members.IsVoter(active.id))
 
 	s.crash(active)
 	s.rounds(2 * simElectionTicks)
-	leader.core.Step(hello)
+	leader.core.Step(joinRequest)
 	require.False(t, leader.core.State().Members.IsVoter(active.id))
 }
 
@@ -295,7 +295,7 @@
 		for v.core != nil {
 			s.runRound()
 		}
-		require.EqualValues(t, FoundingTerm, v.disk.HardState.CurrentTerm)
+		require.EqualValues(t, BootstrapTerm, v.disk.HardState.CurrentTerm)
 		require.Zero(t, v.disk.Snapshot.Index)
 		s.start(v)
 		s.requireSettled(t)
@@ -325,7 +325,7 @@
 func (s *sim) asksToJoin(v *simServer) bool {
 	asked := false
 	s.dropIf = func(m Message) bool {
-		asked = asked || (m.Kind == KindHello && m.From == v.id)
+		asked = asked || (m.Kind == KindJoinRequest && m.From == v.id)
 		return false
 	}
 	for range 2 * simElectionTicks {
--- a/internal/consensus/fault_test.go
+++ b/internal/consensus/fault_test.go
@@ -190,9 +190,9 @@
 	leader := s.leader()
 	unreachable, wiped := s.others(leader)[0], s.others(leader)[1]
 	s.isolate(unreachable.id.Name)
-	s.rounds(2 * simRetireTicks)
+	s.rounds(2 * simRemoveTicks)
 	s.wipe(wiped)
-	s.rounds(4 * simRetireTicks)
+	s.rounds(4 * simRemoveTicks)
 	require.Contains(t, s.voters(), wiped.id.Name, "the wiped server is a voter again")
 	s.write(t, "accepted")
 
--- a/internal/consensus/reconfigure.go
+++ b/internal/consensus/reconfigure.go
@@ -15,7 +15,7 @@
 	case !c.committedInTerm():
 		return 0, 0, ErrNotReady
 	case votersChanged(members, next) > 1 || len(next.Voters()) == 0:
-		return 0, 0, ErrBadChange
+		return 0, 0, ErrInvalidChange
 	}
 	index = c.log.lastIndex() + 1
 	c.join.invalidateRequests(c)
@@ -88,7 +88,7 @@
 // replaceIncarnation replaces the member of the same name, whose disk is lost,
 // by a new incarnation. A member that is still active is not replaced: then two
 // servers run under one name. A change that is not accepted is retried at the
-// next hello.
+// next join request.
 func (c *Core) replaceIncarnation(id ServerID, addr string) {
 	members, _ := c.log.membership()
 	old, ok := members.FindName(id.Name)
@@ -99,10 +99,10 @@
 	_, _, _ = c.proposeMembership(members.with(next))
 }
 
-// admitNewcomer adds a server of an unknown name as a learner that becomes a
-// voter. A change that is not accepted is retried at the next hello.
-func (c *Core) admitNewcomer(id ServerID, addr string) {
-	if !c.cfg.AdmitNewcomers {
+// autoAddServer adds a server of an unknown name as a learner that becomes a
+// voter. A change that is not accepted is retried at the next join request.
+func (c *Core) autoAddServer(id ServerID, addr string) {
+	if !c.cfg.AutoAddServers {
 		return
 	}
 	members, _ := c.log.membership()
@@ -113,13 +113,13 @@
 	_, _, _ = c.proposeMembership(members.with(next))
 }
 
-// retireInactive removes a member without contact for longer than retireTicks: a learner,
+// removeInactive removes a member without contact for longer than removeTicks: a learner,
 // or a voter whose removal lowers the quorum, which is so only for an even number
 // of voters. At MinVoters no voter is removed: an unreachable server most likely
 // still has its disk, and if others lose theirs later, its vote may be needed for
 // a majority.
-func (c *Core) retireInactive() {
-	if c.cfg.RetireTicks <= 0 {
+func (c *Core) removeInactive() {
+	if c.cfg.RemoveLearnerTicks <= 0 {
 		return
 	}
 	members, changedAt := c.log.membership()
@@ -132,20 +132,20 @@
 		if member.ID == c.id || (!member.Learner && !spare) {
 			continue
 		}
-		if c.inactiveFor(member.ID, c.retireTicks(member)) {
+		if c.inactiveFor(member.ID, c.removeTicks(member)) {
 			_, _, _ = c.proposeMembership(members.without(member.ID.Name))
 			return
 		}
 	}
 }
 
-// retireTicks returns the number of ticks without contact after which a member is removed.
+// removeTicks returns the number of ticks without contact after which a member is removed.
 // A spare voter is removed sooner, because it only raises the quorum.
-func (c *Core) retireTicks(member Member) uint64 {
-	if !member.Learner && c.cfg.SpareTicks > 0 {
-		return uint64(c.cfg.SpareTicks)
+func (c *Core) removeTicks(member Member) uint64 {
+	if !member.Learner && c.cfg.RemoveVoterTicks > 0 {
+		return uint64(c.cfg.RemoveVoterTicks)
 	}
-	return uint64(c.cfg.RetireTicks)
+	return uint64(c.cfg.RemoveLearnerTicks)
 }
 
 // inactiveFor reports whether the last contact with a peer, and its addition by this
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -67,7 +67,7 @@
 		}
 	}
 	c.promoteReadyLearner()
-	c.retireInactive()
+	c.removeInactive()
 	if c.now-c.heartbeatTick >= uint64(c.cfg.HeartbeatTicks) {
 		c.broadcastHeartbeat()
 	}
--- a/internal/consensus/rules_test.go
+++ b/internal/consensus/rules_test.go
@@ -150,7 +150,7 @@
 func TestMessageToAnotherIncarnationIsIgnored(t *testing.T) {
 	c := newCore()
 	before := c.State()
-	for kind := KindWelcome; kind <= KindTimeoutNow; kind++ {
+	for kind := KindJoinNonce; kind <= KindTimeoutNow; kind++ {
 		c.Step(Message{
 			Kind: kind, From: idB, To: ServerID{Name: "a", Incarnation: 99}, Term: 5, Index: 1, LogTerm: 1,
 			Snapshot: &Snapshot{Index: 9, Term: 5, Membership: Membership{{ID: idB}}},
--- a/internal/consensus/sim_test.go
+++ b/internal/consensus/sim_test.go
@@ -73,7 +73,7 @@
 	// reckless schedules wipe more disks than the cluster tolerates: it may
 	// become unavailable for good then, but must not lose committed entries.
 	reckless bool
-	// autoJoin clusters admit servers that ask to join and retire lost ones; servers
+	// autoJoin clusters add servers that ask to join and remove lost ones; servers
 	// whose disk was replaced do not bootstrap.
 	autoJoin bool
 	// minVoters is Config.MinVoters.
@@ -134,7 +134,7 @@
 	v.core = New(Config{
 		ID: v.id, Addr: v.id.Name, Peers: s.peers, ElectionTicks: simElectionTicks, HeartbeatTicks: simHeartbeatTicks,
 		KeepEntries: 2, Rand: rand.New(rand.NewPCG(s.rand.Uint64(), 2)),
-		AdmitNewcomers: s.autoJoin, RetireTicks: s.retireTicks(), SpareTicks: s.retireTicks() / 3, MinVoters: s.minVoters, JoinOnly: s.autoJoin && v.wiped,
+		AutoAddServers: s.autoJoin, RemoveLearnerTicks: s.removeTicks(), RemoveVoterTicks: s.removeTicks() / 3, MinVoters: s.minVoters, JoinOnly: s.autoJoin && v.wiped,
 	}, disk)
 	v.frozen, v.crashAt = false, crashNow
 	v.proposals, v.reads, v.waiting = map[uint64]*clientOp{}, map[uint64]*clientOp{}, nil
@@ -142,13 +142,13 @@
 	s.restoreState(v, disk.Snapshot)
 }
 
-// simRetireTicks is longer than an election, so that a server is not retired
+// simRemoveTicks is longer than an election, so that a server is not removed
 // while it only waits for a leader.
-const simRetireTicks = 6 * simElectionTicks
+const simRemoveTicks = 6 * simElectionTicks
 
-func (s *sim) retireTicks() int {
+func (s *sim) removeTicks() int {
 	if s.autoJoin {
-		return simRetireTicks
+		return simRemoveTicks
 	}
 	return 0
 }
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -48,11 +48,11 @@
 	Data       []byte
 }
 
-// FoundingIndex and FoundingTerm are the index and term of the bootstrap
+// BootstrapIndex and BootstrapTerm are the index and term of the bootstrap
 // snapshot, which has the initial membership and no data.
 const (
-	FoundingIndex = 1
-	FoundingTerm  = 1
+	BootstrapIndex = 1
+	BootstrapTerm  = 1
 )
 
 // HardState must be durable before any message that depends on it is sent.
@@ -66,18 +66,18 @@
 
 // The kinds of messages, with the fields each one uses besides From, To, Term.
 const (
-	// KindHello: a server that is not a member asks to join. Addr; Context is
-	// the nonce of the last welcome, zero at first; Index is 1 if forwarded;
+	// KindJoinRequest: a server that is not a member asks to join. Addr; Context is
+	// the nonce of the last KindJoinNonce, zero at first; Index is 1 if forwarded;
 	// Commit is the last index of the sender's log, zero on a blank disk.
 	// To.Incarnation is zero: the sender knows names only.
-	KindHello Kind = iota + 1
-	// KindWelcome answers a hello with a nonce (Context) that the next hello
-	// must repeat, so that a hello delayed in the network is recognised. Addr.
-	KindWelcome
-	// KindFound sends the bootstrap snapshot to an initial voter. Snapshot.
-	KindFound
-	// KindFoundReply: the bootstrap snapshot is durable on the sender.
-	KindFoundReply
+	KindJoinRequest Kind = iota + 1
+	// KindJoinNonce answers a join request with a nonce (Context) that the next join request
+	// must repeat, so that a join request delayed in the network is recognised. Addr.
+	KindJoinNonce
+	// KindBootstrap sends the bootstrap snapshot to an initial voter. Snapshot.
+	KindBootstrap
+	// KindBootstrapReply: the bootstrap snapshot is durable on the sender.
+	KindBootstrapReply
 	// KindPreVote and KindRequestVote: Index and LogTerm of the last entry.
 	// Term is the term of the election. Context is TransferContext in a
 	// leadership transfer.
@@ -172,7 +172,7 @@
 	ErrChangePending = errors.New("another membership change is in progress")
 	ErrNotReady      = errors.New("the leader has not committed an entry of its term yet")
 	ErrNotCaughtUp   = errors.New("the learner has not caught up")
-	ErrBadChange     = errors.New("membership change must change at most one voter and keep at least one")
+	ErrInvalidChange = errors.New("membership change must change at most one voter and keep at least one")
 	ErrUnknownServer = errors.New("unknown server")
 	ErrNoChange      = errors.New("membership change has no effect")
 )
--- a/internal/replica/api.go
+++ b/internal/replica/api.go
@@ -46,7 +46,7 @@
 	HeartbeatTicks int
 	// SnapshotEntries is the number of applied entries between snapshots.
 	SnapshotEntries int
-	// JoinOnly prevents a server with an empty data folder from founding a cluster.
+	// JoinOnly prevents a server with an empty data folder from bootstrapping a cluster.
 	JoinOnly bool
 	// AdmitNewcomers lets the leader add servers that ask to join.
 	AdmitNewcomers bool
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -97,7 +97,7 @@
 }
 
 func (a *applier) restore(s consensus.Snapshot) error {
-	if s.Index > consensus.FoundingIndex {
+	if s.Index > consensus.BootstrapIndex {
 		if err := a.fsm.Restore(s.Data); err != nil {
 			return err
 		}
--- a/internal/replica/clock_test.go
+++ b/internal/replica/clock_test.go
@@ -55,9 +55,9 @@
 		}
 		return withWallClockStep(time.Now(), step)
 	}
-	hello := consensus.Message{Kind: consensus.KindHello, To: consensus.ServerID{Name: "b"}}
+	joinRequest := consensus.Message{Kind: consensus.KindJoinRequest, To: consensus.ServerID{Name: "b"}}
 	require.Eventually(t, func() bool {
-		tr.send(hello, time.Now())
+		tr.send(joinRequest, time.Now())
 		return accepted.Load() > 1
 	}, waitLimit, pollInterval)
 }
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -69,7 +69,7 @@
 	switch e := e.(type) {
 	case messageEvent:
 		m := e.message
-		if m.Kind == consensus.KindHello || m.Kind == consensus.KindWelcome {
+		if m.Kind == consensus.KindJoinRequest || m.Kind == consensus.KindJoinNonce {
 			n.transport.setAddr(m.From, m.Addr)
 		}
 		n.core.Step(m)
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -91,7 +91,7 @@
 
 func newNode(cfg Config, store storage, recovered raftlog.Recovered, fsm FSM) (*Node, error) {
 	snapshot := recovered.State.Snapshot
-	if snapshot.Index > consensus.FoundingIndex {
+	if snapshot.Index > consensus.BootstrapIndex {
 		if err := fsm.Restore(snapshot.Data); err != nil {
 			return nil, fmt.Errorf("restore snapshot: %w", err)
 		}
@@ -111,9 +111,9 @@
 		ID: recovered.ID, Addr: cfg.Addr, Peers: cfg.peerNames(),
 		ElectionTicks: cfg.ElectionTicks, HeartbeatTicks: cfg.HeartbeatTicks,
 		KeepEntries: uint64(cfg.SnapshotEntries / 4), Rand: random,
-		JoinOnly: cfg.JoinOnly, AdmitNewcomers: cfg.AdmitNewcomers,
-		RetireTicks: int(cfg.RetireAfter / cfg.TickInterval),
-		SpareTicks:  int(cfg.SpareAfter / cfg.TickInterval), MinVoters: 2*cfg.LostDisks + 1,
+		JoinOnly: cfg.JoinOnly, AutoAddServers: cfg.AdmitNewcomers,
+		RemoveLearnerTicks: int(cfg.RetireAfter / cfg.TickInterval),
+		RemoveVoterTicks:   int(cfg.SpareAfter / cfg.TickInterval), MinVoters: 2*cfg.LostDisks + 1,
 	}, recovered.State)
 	n.metrics.cutTailBytes.Add(float64(recovered.CutBytes))
 	n.publish()
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -46,7 +46,7 @@
 	// names and ids map server names and server IDs to addresses. The addresses come from
 	// the membership, from servers that ask to join, and initially, by name, from the
 	// settings. names is used for messages to a server of unknown incarnation, as when a
-	// hello is forwarded to a leader.
+	// join request is forwarded to a leader.
 	names map[string]string
 	ids   map[consensus.ServerID]string
 }
--- a/internal/replica/wire.go
+++ b/internal/replica/wire.go
@@ -68,7 +68,7 @@
 		Reject: in.GetReject(), RejectHint: in.GetRejectHint(), Context: in.GetContext(),
 		Entries: raftlog.EntriesFromProto(in.GetEntries()), Addr: in.GetAddr(),
 	}
-	if m.Kind != consensus.KindInstallSnapshot && m.Kind != consensus.KindFound {
+	if m.Kind != consensus.KindInstallSnapshot && m.Kind != consensus.KindBootstrap {
 		return m, true, validate(m)
 	}
 	data := append(d.snapshot, in.GetSnapshot()...)
@@ -96,7 +96,7 @@
 			return fmt.Errorf("decode membership entry: %w", err)
 		}
 	}
-	if m.Snapshot != nil && m.Snapshot.Index < consensus.FoundingIndex {
+	if m.Snapshot != nil && m.Snapshot.Index < consensus.BootstrapIndex {
 		return fmt.Errorf("snapshot with index %d", m.Snapshot.Index)
 	}
 	return nil
--- a/internal/replica/wire_test.go
+++ b/internal/replica/wire_test.go
@@ -17,19 +17,19 @@
 	idB = consensus.ServerID{Name: "b", Incarnation: 1 << 63}
 	idC = consensus.ServerID{Name: "c", Incarnation: 3}
 
-	foundingSnapshot = consensus.Snapshot{
+	bootstrapSnapshot = consensus.Snapshot{
 		Index: 1, Term: 1, Membership: consensus.Membership{{ID: idA, Addr: "127.0.0.1:1"}, {ID: idB}, {ID: idC}},
 	}
 	sampleMessages = []consensus.Message{
-		{Kind: consensus.KindHello, From: idA, To: consensus.ServerID{Name: "b"}, Addr: "127.0.0.1:1", Context: 1 << 60},
-		{Kind: consensus.KindFound, From: idA, To: idB, Term: 1, Snapshot: &foundingSnapshot},
+		{Kind: consensus.KindJoinRequest, From: idA, To: consensus.ServerID{Name: "b"}, Addr: "127.0.0.1:1", Context: 1 << 60},
+		{Kind: consensus.KindBootstrap, From: idA, To: idB, Term: 1, Snapshot: &bootstrapSnapshot},
 		{Kind: consensus.KindRequestVote, From: idA, To: idB, Term: 3, Index: 9, LogTerm: 2, Context: consensus.TransferContext},
 		{Kind: consensus.KindAppendEntries, From: idA, To: idB, Term: 3, Index: 1, LogTerm: 1, Commit: 1, Entries: []consensus.Entry{
 			{Index: 2, Term: 2, Data: []byte("x")}, {Index: 3, Term: 3, Kind: consensus.EntryNoOp},
 		}},
 		{Kind: consensus.KindAppendEntriesReply, From: idA, To: idB, Term: 3, Reject: true, Index: 7, RejectHint: 2},
 		{Kind: consensus.KindInstallSnapshot, From: idA, To: idB, Term: 4, Index: 9, Snapshot: &consensus.Snapshot{
-			Index: 9, Term: 4, Membership: foundingSnapshot.Membership, Data: bytes.Repeat([]byte("state"), 200_000),
+			Index: 9, Term: 4, Membership: bootstrapSnapshot.Membership, Data: bytes.Repeat([]byte("state"), 200_000),
 		}},
 	}
 )
@@ -74,7 +74,7 @@
 		core := consensus.New(consensus.Config{
 			ID: idB, Peers: []string{"a", "b", "c"}, ElectionTicks: 4, HeartbeatTicks: 1, Rand: rand.New(rand.NewPCG(1, 2)),
 		}, consensus.Restored{
-			HardState: consensus.HardState{CurrentTerm: 2}, Snapshot: foundingSnapshot,
+			HardState: consensus.HardState{CurrentTerm: 2}, Snapshot: bootstrapSnapshot,
 			Entries: []consensus.Entry{{Index: 2, Term: 2, Data: []byte("x")}},
 		})
 		for range 2 {
@@ -104,8 +104,8 @@
 func TestNoMessageWithoutSync(t *testing.T) {
 	node := newNodeWithoutLoop(t)
 	self := node.core.State().ID
-	founding := consensus.Snapshot{Index: 1, Term: 1, Membership: consensus.Membership{{ID: idA, Addr: "127.0.0.1:1"}, {ID: self}}}
-	node.core.Step(consensus.Message{Kind: consensus.KindFound, From: idA, To: self, Snapshot: &founding})
+	bootstrap := consensus.Snapshot{Index: 1, Term: 1, Membership: consensus.Membership{{ID: idA, Addr: "127.0.0.1:1"}, {ID: self}}}
+	node.core.Step(consensus.Message{Kind: consensus.KindBootstrap, From: idA, To: self, Snapshot: &bootstrap})
 	require.NoError(t, node.processReady())
 	sent := len(node.transport.peers)
 	clear(node.transport.peers)
