--- a/internal/raftlog/errors.go
+++ b/internal/raftlog/errors.go
@@ -15,13 +15,13 @@
 	return fmt.Sprintf("corrupt data in %s at offset %d: %s; wipe the folder to rebuild this server from its peers", e.File, e.Offset, e.Reason)
 }
 
-// ForeignError reports that the data folder belongs to another server.
-type ForeignError struct {
+// WrongServerError reports that the data folder belongs to another server.
+type WrongServerError struct {
 	Dir   string
 	Owner string
 	Name  string
 }
 
-func (e *ForeignError) Error() string {
+func (e *WrongServerError) Error() string {
 	return fmt.Sprintf("data folder %s belongs to server %q, not %q", e.Dir, e.Owner, e.Name)
 }
--- a/internal/raftlog/segments.go
+++ b/internal/raftlog/segments.go
@@ -98,7 +98,7 @@
 		return 0, &CorruptError{File: path, Offset: result.validSize, Reason: "invalid frame in a segment that is not the last"}
 	}
 	if !isTornWrite(data, number, result.validSize) {
-		if err := s.reincarnate(); err != nil {
+		if err := s.changeIncarnation(); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/raftlog/store.go
+++ b/internal/raftlog/store.go
@@ -42,8 +42,8 @@
 	snapshotMu    sync.Mutex
 	snapshotIndex uint64
 
-	hasState     bool
-	reincarnated bool
+	hasState           bool
+	incarnationChanged bool
 }
 
 // segment is one file of the log. lastIndex is the highest index of an entry in it.
@@ -57,11 +57,11 @@
 type Recovered struct {
 	ID    consensus.ServerID
 	State consensus.Restored
-	// CutBytes is the length of the invalid tail that was truncated.
-	CutBytes int64
-	// Reincarnated is true if the truncated tail may have been acknowledged. The
+	// TruncatedBytes is the length of the invalid tail that was truncated.
+	TruncatedBytes int64
+	// NewIncarnation is true if the truncated tail may have been acknowledged. The
 	// server then has a new incarnation and must join the cluster again.
-	Reincarnated bool
+	NewIncarnation bool
 }
 
 // Open opens or creates the data folder of the server with this name.
@@ -95,7 +95,7 @@
 	}
 	s.id = ServerIDFromProto(identity.GetId())
 	if s.id.Name != name {
-		return &ForeignError{Dir: s.dir, Owner: s.id.Name, Name: name}
+		return &WrongServerError{Dir: s.dir, Owner: s.id.Name, Name: name}
 	}
 	return nil
 }
@@ -125,10 +125,10 @@
 	return writeFile(s.path(identityFile), &rpc.RaftIdentity{Id: ServerIDToProto(s.id)})
 }
 
-// reincarnate gives the server a new incarnation. It is called before a tail
+// changeIncarnation gives the server a new incarnation. It is called before a tail
 // is truncated that may have been acknowledged.
-func (s *Store) reincarnate() error {
-	s.reincarnated = true
+func (s *Store) changeIncarnation() error {
+	s.incarnationChanged = true
 	return s.newIncarnation()
 }
 
@@ -154,11 +154,11 @@
 	}
 	recovered.State.Snapshot = SnapshotFromProto(&snapshot)
 	s.snapshotIndex = snapshot.GetIndex()
-	recovered.State.Entries, recovered.CutBytes, err = s.openLog(recovered.State.Snapshot)
+	recovered.State.Entries, recovered.TruncatedBytes, err = s.openLog(recovered.State.Snapshot)
 	if err == nil && len(recovered.State.Entries) > 0 && !haveState {
 		err = &CorruptError{File: s.path(stateFile), Reason: "missing although there are entries"}
 	}
-	recovered.ID, recovered.Reincarnated = s.id, s.reincarnated
+	recovered.ID, recovered.NewIncarnation = s.id, s.incarnationChanged
 	return recovered, err
 }
 
--- a/internal/raftlog/store_test.go
+++ b/internal/raftlog/store_test.go
@@ -154,8 +154,8 @@
 		require.NoError(t, os.WriteFile(path, data[:size], 0o600))
 		s, recovered := open(t, dir)
 		require.Len(t, recovered.State.Entries, 4)
-		require.Equal(t, size-lastFrame, recovered.CutBytes)
-		require.False(t, recovered.Reincarnated)
+		require.Equal(t, size-lastFrame, recovered.TruncatedBytes)
+		require.False(t, recovered.NewIncarnation)
 		require.NoError(t, s.Close())
 	}
 	zeros := append(data[:lastFrame:lastFrame], make([]byte, 2000)...)
@@ -163,7 +163,7 @@
 	s, recovered := open(t, dir)
 	defer s.Close()
 	require.Len(t, recovered.State.Entries, 4)
-	require.False(t, recovered.Reincarnated)
+	require.False(t, recovered.NewIncarnation)
 }
 
 // A damaged byte before the last frame causes a CorruptError. In the last frame, Open
@@ -185,7 +185,7 @@
 		}
 		require.NoError(t, err)
 		require.Len(t, recovered.State.Entries, 4)
-		require.True(t, recovered.Reincarnated, "byte %d", i)
+		require.True(t, recovered.NewIncarnation, "byte %d", i)
 		require.NoError(t, s.Close())
 		_, again := open(t, dir)
 		require.Equal(t, recovered.ID, again.ID, "the new incarnation is durable")
@@ -226,8 +226,8 @@
 	s, _ := open(t, dir)
 	require.NoError(t, s.Close())
 	_, _, err := Open(dir, "b", Options{})
-	var foreign *ForeignError
-	require.ErrorAs(t, err, &foreign)
+	var wrongServer *WrongServerError
+	require.ErrorAs(t, err, &wrongServer)
 }
 
 func TestNewFoldersHaveDifferentIncarnations(t *testing.T) {
@@ -267,6 +267,6 @@
 		s, again := open(t, dir)
 		require.NoError(t, s.Close())
 		require.Equal(t, recovered.State, again.State)
-		require.Zero(t, again.CutBytes)
+		require.Zero(t, again.TruncatedBytes)
 	})
 }
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -115,11 +115,11 @@
 		RemoveLearnerTicks: int(cfg.RetireAfter / cfg.TickInterval),
 		RemoveVoterTicks:   int(cfg.SpareAfter / cfg.TickInterval), MinVoters: 2*cfg.LostDisks + 1,
 	}, recovered.State)
-	n.metrics.cutTailBytes.Add(float64(recovered.CutBytes))
+	n.metrics.cutTailBytes.Add(float64(recovered.TruncatedBytes))
 	n.publish()
 	cfg.Logger.Info().Str("server", recovered.ID.String()).Uint64("term", recovered.State.HardState.CurrentTerm).
 		Uint64("snapshot", snapshot.Index).Int("entries", len(recovered.State.Entries)).
-		Int64("cut_bytes", recovered.CutBytes).Bool("reincarnated", recovered.Reincarnated).Msg("consensus started")
+		Int64("cut_bytes", recovered.TruncatedBytes).Bool("reincarnated", recovered.NewIncarnation).Msg("consensus started")
 	return n, nil
 }
 
