--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -30,7 +30,7 @@
 	// learner; 0 disables the removal of members.
 	RemoveLearnerTicks int
 	// RemoveVoterTicks is the time without contact after which a leader removes a voter if the
-	// number of voters is even and above MinVoters; 0 means RetireTicks.
+	// number of voters is even and above MinVoters; 0 means RemoveLearnerTicks.
 	RemoveVoterTicks int
 	// MinVoters is the number of voters up to which none is removed for lack of contact:
 	// twice the number of tolerated disk losses plus one.
--- a/internal/fleetdaemon/control.go
+++ b/internal/fleetdaemon/control.go
@@ -121,8 +121,8 @@
 	r := replica.Config{
 		Name: c.Member, Addr: cfg.RPCAddr, Dir: c.DataFolder,
 		TickInterval: tickInterval, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks,
-		SnapshotEntries: snapshotEntries, JoinOnly: !bootstrap, AdmitNewcomers: true,
-		RetireAfter: retireAfter, SpareAfter: spareAfter, LostDisks: c.LostDisks, RetryDisk: true, Logger: cfg.Logger,
+		SnapshotEntries: snapshotEntries, JoinOnly: !bootstrap, AutoAddServers: true,
+		RemoveLearnerAfter: retireAfter, RemoveVoterAfter: spareAfter, LostDisks: c.LostDisks, RetryWrites: true, Logger: cfg.Logger,
 	}
 	for name, addr := range c.Peers() {
 		r.Peers = append(r.Peers, replica.Member{Name: name, Addr: addr})
--- a/internal/replica/api.go
+++ b/internal/replica/api.go
@@ -48,21 +48,21 @@
 	SnapshotEntries int
 	// JoinOnly prevents a server with an empty data folder from bootstrapping a cluster.
 	JoinOnly bool
-	// AdmitNewcomers lets the leader add servers that ask to join.
-	AdmitNewcomers bool
-	// RetireAfter is the time after which the leader removes a learner that it receives
+	// AutoAddServers lets the leader add servers that ask to join.
+	AutoAddServers bool
+	// RemoveLearnerAfter is the time after which the leader removes a learner that it receives
 	// no messages from; 0 disables all automatic removals.
-	RetireAfter time.Duration
-	// SpareAfter is the same time for a voter whose removal lowers the quorum, which
-	// requires an even number of voters; 0 means RetireAfter.
-	SpareAfter time.Duration
+	RemoveLearnerAfter time.Duration
+	// RemoveVoterAfter is the same time for a voter whose removal lowers the quorum, which
+	// requires an even number of voters; 0 means RemoveLearnerAfter.
+	RemoveVoterAfter time.Duration
 	// LostDisks is the number of members that may lose their disks at once. The leader
 	// keeps at least 2*LostDisks+1 voters, even if some of them are unreachable.
 	LostDisks int
-	// RetryDisk makes the node retry failed writes instead of stopping. It answers no
+	// RetryWrites makes the node retry failed writes instead of stopping. It answers no
 	// messages until a retry succeeds, and the other members elect a leader.
-	RetryDisk bool
-	Logger    zerolog.Logger
+	RetryWrites bool
+	Logger      zerolog.Logger
 	// wrapStorage, if set, wraps the storage of the node; for tests.
 	wrapStorage func(storage) storage
 }
--- a/internal/replica/disk_test.go
+++ b/internal/replica/disk_test.go
@@ -71,7 +71,7 @@
 	c := newCluster(t, 3, func(cfg *Config) {
 		disk := &faultyStorage{}
 		disks[cfg.Name] = disk
-		cfg.RetryDisk = true
+		cfg.RetryWrites = true
 		cfg.wrapStorage = func(s storage) storage {
 			disk.storage = s
 			return disk
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -162,13 +162,13 @@
 // leads, the others wait at most an election timeout for a new leader meanwhile.
 const diskRetryInterval = 100 * time.Millisecond
 
-// persistWithRetry calls persist, and retries it if RetryDisk is set, for example
+// persistWithRetry calls persist, and retries it if RetryWrites is set, for example
 // while the disk is full. All steps of persist are idempotent: they write the same
 // bytes to the same positions.
 func (n *Node) persistWithRetry(rd consensus.Ready) error {
 	for {
 		err := n.persist(rd)
-		if err == nil || !n.cfg.RetryDisk {
+		if err == nil || !n.cfg.RetryWrites {
 			return err
 		}
 		n.cfg.Logger.Error().Err(err).Msg("write to the log failed; retrying")
@@ -246,7 +246,7 @@
 }
 
 func (n *Node) handleSnapshotSaved(e snapshotSaved) {
-	if e.err != nil && n.cfg.RetryDisk {
+	if e.err != nil && n.cfg.RetryWrites {
 		n.cfg.Logger.Error().Err(e.err).Msg("snapshot not saved; log not compacted")
 		return
 	}
@@ -257,7 +257,7 @@
 	n.metrics.snapshots.Inc()
 	n.core.Compact(e.snapshot)
 	err := n.store.Compact(e.snapshot.Index)
-	if err != nil && n.cfg.RetryDisk {
+	if err != nil && n.cfg.RetryWrites {
 		n.cfg.Logger.Error().Err(err).Msg("old log segments not removed; retrying after the next snapshot")
 		return
 	}
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -111,9 +111,9 @@
 		ID: recovered.ID, Addr: cfg.Addr, Peers: cfg.peerNames(),
 		ElectionTicks: cfg.ElectionTicks, HeartbeatTicks: cfg.HeartbeatTicks,
 		KeepEntries: uint64(cfg.SnapshotEntries / 4), Rand: random,
-		JoinOnly: cfg.JoinOnly, AutoAddServers: cfg.AdmitNewcomers,
-		RemoveLearnerTicks: int(cfg.RetireAfter / cfg.TickInterval),
-		RemoveVoterTicks:   int(cfg.SpareAfter / cfg.TickInterval), MinVoters: 2*cfg.LostDisks + 1,
+		JoinOnly: cfg.JoinOnly, AutoAddServers: cfg.AutoAddServers,
+		RemoveLearnerTicks: int(cfg.RemoveLearnerAfter / cfg.TickInterval),
+		RemoveVoterTicks:   int(cfg.RemoveVoterAfter / cfg.TickInterval), MinVoters: 2*cfg.LostDisks + 1,
 	}, recovered.State)
 	n.metrics.cutTailBytes.Add(float64(recovered.TruncatedBytes))
 	n.publish()
--- a/internal/replica/rejoin_test.go
+++ b/internal/replica/rejoin_test.go
@@ -10,12 +10,12 @@
 // A server that restarts with an empty disk must join even if the leader was added later:
 // neither its settings nor those of the servers it asks contain the leader's address.
 func TestWipedServerJoinsThroughLeaderNotInSettings(t *testing.T) {
-	admit := func(cfg *Config) { cfg.AdmitNewcomers = true }
-	c := newCluster(t, 3, admit)
+	autoAdd := func(cfg *Config) { cfg.AutoAddServers = true }
+	c := newCluster(t, 3, autoAdd)
 	c.propose("one")
 	added := []string{"c3", "c4"}
 	for _, name := range added {
-		c.add(Member{Name: name, Addr: reserveAddr(t)}, admit)
+		c.add(Member{Name: name, Addr: reserveAddr(t)}, autoAdd)
 	}
 	c.requireVoters("c0", "c1", "c2", "c3", "c4")
 	for leader := c.leader(); !slices.Contains(added, leader.cfg.Name); leader = c.leader() {
--- a/internal/replica/silent_test.go
+++ b/internal/replica/silent_test.go
@@ -12,7 +12,7 @@
 // Connections to a follower that discard all data must be replaced, even though the
 // follower's own messages keep arriving over other connections.
 func TestOneWaySilentConnectionsAreReplaced(t *testing.T) {
-	c, relays := newRelayedCluster(t, func(cfg *Config) { cfg.TickInterval, cfg.RetireAfter = silentTick, time.Hour })
+	c, relays := newRelayedCluster(t, func(cfg *Config) { cfg.TickInterval, cfg.RemoveLearnerAfter = silentTick, time.Hour })
 	c.propose("one")
 	c.requireList("one")
 	leader := c.leader()
