--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -277,7 +277,7 @@
 }
 
 func TestWaitingRequestIsCancelledBeforeItsWeightsExpire(t *testing.T) {
-	standstill.Judge(t, testWaitingRequestIsCancelledBeforeItsWeightsExpire)
+	standstill.Run(t, testWaitingRequestIsCancelledBeforeItsWeightsExpire)
 }
 
 func testWaitingRequestIsCancelledBeforeItsWeightsExpire(t testing.TB) {
@@ -338,7 +338,7 @@
 }
 
 func TestRequestIsCancelledWhenItsCallerLeaves(t *testing.T) {
-	standstill.Judge(t, testRequestIsCancelledWhenItsCallerLeaves)
+	standstill.Run(t, testRequestIsCancelledWhenItsCallerLeaves)
 }
 
 func testRequestIsCancelledWhenItsCallerLeaves(t testing.TB) {
@@ -364,7 +364,7 @@
 }
 
 func TestRequestEndsAtItsDeadline(t *testing.T) {
-	standstill.Judge(t, testRequestEndsAtItsDeadline)
+	standstill.Run(t, testRequestEndsAtItsDeadline)
 }
 
 func testRequestEndsAtItsDeadline(t testing.TB) {
--- a/internal/gateway/handover_count_test.go
+++ b/internal/gateway/handover_count_test.go
@@ -38,7 +38,7 @@
 // TestUnansweredHandoversCountAgainstLaterOnes: a server whose handover is cancelled before it
 // answers may have begun all the same, so a loading server is no reason for a third attempt.
 func TestUnansweredHandoversCountAgainstLaterOnes(t *testing.T) {
-	standstill.Judge(t, testUnansweredHandoversCountAgainstLaterOnes)
+	standstill.Run(t, testUnansweredHandoversCountAgainstLaterOnes)
 }
 
 func testUnansweredHandoversCountAgainstLaterOnes(t testing.TB) {
--- a/internal/gateway/handover_test.go
+++ b/internal/gateway/handover_test.go
@@ -82,7 +82,7 @@
 // TestStreamStaysAtItsServerUntilAnotherOneContinues: a stream was taken from an engine that waited to load, by
 // reports 0.1 to 0.3 s old; the others refused it (503) or had new weights, and it was cut within 0.5 s.
 func TestStreamStaysAtItsServerUntilAnotherOneContinues(t *testing.T) {
-	standstill.Judge(t, testStreamStaysAtItsServerUntilAnotherOneContinues)
+	standstill.Run(t, testStreamStaysAtItsServerUntilAnotherOneContinues)
 }
 
 func testStreamStaysAtItsServerUntilAnotherOneContinues(t testing.TB) {
@@ -113,7 +113,7 @@
 }
 
 func TestStreamIsHandedOverToTheServerThatHasBegun(t *testing.T) {
-	standstill.Judge(t, testStreamIsHandedOverToTheServerThatHasBegun)
+	standstill.Run(t, testStreamIsHandedOverToTheServerThatHasBegun)
 }
 
 func testStreamIsHandedOverToTheServerThatHasBegun(t testing.TB) {
@@ -141,7 +141,7 @@
 	e.assertNothingInFlight(t)
 }
 
-func TestSlowHandoverIsCancelled(t *testing.T) { standstill.Judge(t, testSlowHandoverIsCancelled) }
+func TestSlowHandoverIsCancelled(t *testing.T) { standstill.Run(t, testSlowHandoverIsCancelled) }
 
 func testSlowHandoverIsCancelled(t testing.TB) {
 	const count, pause = 15, 100 * time.Millisecond
@@ -168,7 +168,7 @@
 }
 
 func TestStreamContinuesIfItsServerFailsDuringAHandover(t *testing.T) {
-	standstill.Judge(t, testStreamContinuesIfItsServerFailsDuringAHandover)
+	standstill.Run(t, testStreamContinuesIfItsServerFailsDuringAHandover)
 }
 
 func testStreamContinuesIfItsServerFailsDuringAHandover(t testing.TB) {
@@ -203,7 +203,7 @@
 }
 
 func TestRestOfAStreamWaitsForAServerThatWasFull(t *testing.T) {
-	standstill.Judge(t, testRestOfAStreamWaitsForAServerThatWasFull)
+	standstill.Run(t, testRestOfAStreamWaitsForAServerThatWasFull)
 }
 
 func testRestOfAStreamWaitsForAServerThatWasFull(t testing.TB) {
@@ -226,7 +226,7 @@
 // TestStreamIsHandedOverFromASilentConnection: a connection is dead, but its server still writes to
 // other requests and is not ejected.
 func TestStreamIsHandedOverFromASilentConnection(t *testing.T) {
-	standstill.Judge(t, testStreamIsHandedOverFromASilentConnection)
+	standstill.Run(t, testStreamIsHandedOverFromASilentConnection)
 }
 
 func testStreamIsHandedOverFromASilentConnection(t testing.TB) {
@@ -262,7 +262,7 @@
 }
 
 func TestStreamThatNoServerCanResumeEndsAtOnce(t *testing.T) {
-	standstill.Judge(t, testStreamThatNoServerCanResumeEndsAtOnce)
+	standstill.Run(t, testStreamThatNoServerCanResumeEndsAtOnce)
 }
 
 func testStreamThatNoServerCanResumeEndsAtOnce(t testing.TB) {
@@ -313,7 +313,7 @@
 }
 
 func TestSlowServerKeepsItsRequestUntilAnotherHasAnswered(t *testing.T) {
-	standstill.Judge(t, testSlowServerKeepsItsRequestUntilAnotherHasAnswered)
+	standstill.Run(t, testSlowServerKeepsItsRequestUntilAnotherHasAnswered)
 }
 
 func testSlowServerKeepsItsRequestUntilAnotherHasAnswered(t testing.TB) {
@@ -345,7 +345,7 @@
 }
 
 func TestSilentServerKeepsItsRequestUntilAnotherHasBegun(t *testing.T) {
-	standstill.Judge(t, testSilentServerKeepsItsRequestUntilAnotherHasBegun)
+	standstill.Run(t, testSilentServerKeepsItsRequestUntilAnotherHasBegun)
 }
 
 func testSilentServerKeepsItsRequestUntilAnotherHasBegun(t testing.TB) {
@@ -395,7 +395,7 @@
 }
 
 func TestRequestThatAHandoverMayHaveRunIsNotReportedAsNotRun(t *testing.T) {
-	standstill.Judge(t, testRequestThatAHandoverMayHaveRunIsNotReportedAsNotRun)
+	standstill.Run(t, testRequestThatAHandoverMayHaveRunIsNotReportedAsNotRun)
 }
 
 func testRequestThatAHandoverMayHaveRunIsNotReportedAsNotRun(t testing.TB) {
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestRequestIsRefusedAtOnceWhenAllServersAreFull(t *testing.T) {
-	standstill.Judge(t, testRequestIsRefusedAtOnceWhenAllServersAreFull)
+	standstill.Run(t, testRequestIsRefusedAtOnceWhenAllServersAreFull)
 }
 
 func testRequestIsRefusedAtOnceWhenAllServersAreFull(t testing.TB) {
--- a/internal/gateway/wait_queue_test.go
+++ b/internal/gateway/wait_queue_test.go
@@ -34,7 +34,7 @@
 }
 
 func TestRequestWaitsForASlotThatIsFreedInTime(t *testing.T) {
-	standstill.Judge(t, testRequestWaitsForASlotThatIsFreedInTime)
+	standstill.Run(t, testRequestWaitsForASlotThatIsFreedInTime)
 }
 
 func testRequestWaitsForASlotThatIsFreedInTime(t testing.TB) {
--- a/internal/gateway/weights_expiry_test.go
+++ b/internal/gateway/weights_expiry_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestHandoverIsCancelledBeforeTheWeightsExpire(t *testing.T) {
-	standstill.Judge(t, testHandoverIsCancelledBeforeTheWeightsExpire)
+	standstill.Run(t, testHandoverIsCancelledBeforeTheWeightsExpire)
 }
 
 func testHandoverIsCancelledBeforeTheWeightsExpire(t testing.TB) {
@@ -56,7 +56,7 @@
 }
 
 func TestWaitingRequestIsCancelledAWholeMarginBeforeItsWeightsExpire(t *testing.T) {
-	standstill.Judge(t, testWaitingRequestIsCancelledAWholeMarginBeforeItsWeightsExpire)
+	standstill.Run(t, testWaitingRequestIsCancelledAWholeMarginBeforeItsWeightsExpire)
 }
 
 func testWaitingRequestIsCancelledAWholeMarginBeforeItsWeightsExpire(t testing.TB) {
@@ -78,7 +78,7 @@
 }
 
 func TestSafeRequestAtAnEngineIsCancelledBeforeItsWeightsExpire(t *testing.T) {
-	standstill.Judge(t, testSafeRequestAtAnEngineIsCancelledBeforeItsWeightsExpire)
+	standstill.Run(t, testSafeRequestAtAnEngineIsCancelledBeforeItsWeightsExpire)
 }
 
 func testSafeRequestAtAnEngineIsCancelledBeforeItsWeightsExpire(t testing.TB) {
--- a/internal/standstill/standstill.go
+++ b/internal/standstill/standstill.go
@@ -22,9 +22,9 @@
 	maxRuns = 5
 )
 
-// Judge runs a scenario. If it fails, t fails at once unless the process stalled during the
+// Run runs a scenario. If it fails, t fails at once unless the process stalled during the
 // run; in that case the scenario runs again, up to maxRuns times in all.
-func Judge(t *testing.T, scenario func(t testing.TB)) {
+func Run(t *testing.T, scenario func(t testing.TB)) {
 	t.Helper()
 	runScenario(t, func() stallMeter { return startMonitor() }, scenario)
 }
@@ -32,7 +32,7 @@
 // stallMeter measures how long the process has stalled since the meter was created.
 type stallMeter interface{ stop() time.Duration }
 
-// runScenario implements Judge for any test and stall meter.
+// runScenario implements Run for any test and stall meter.
 func runScenario(t testing.TB, newMeter func() stallMeter, scenario func(t testing.TB)) {
 	t.Helper()
 	for range maxRuns {
