--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -56,11 +56,11 @@
 // sent to the caller is resumed only on the same version.
 func (t *attempt) start(ctx context.Context, excluded []string) outcome.Outcome {
 	request := routing.Request{
-		Service:  t.call.service.Name,
-		Model:    t.call.service.Model,
-		Prefix:   t.call.prefixHash,
-		Whole:    t.call.unstreamed(),
-		Excluded: excluded,
+		Service:    t.call.service.Name,
+		Model:      t.call.service.Model,
+		Prefix:     t.call.prefixHash,
+		Unstreamed: t.call.unstreamed(),
+		Excluded:   excluded,
 	}
 	if t.answer.sent {
 		request.Version = t.answer.version
@@ -96,7 +96,7 @@
 // picked.
 func notPicked(reason routing.Reason) outcome.Outcome {
 	switch reason {
-	case routing.ReasonFull, routing.ReasonAllAside, routing.ReasonAllExcluded:
+	case routing.ReasonFull, routing.ReasonAllEjected, routing.ReasonAllExcluded:
 		return outcome.Not(outcome.Overloaded, string(reason), overloadedRetryAfter)
 	case routing.ReasonAllLeaving:
 		return outcome.Not(outcome.Leaving, string(reason), noBackendRetryAfter)
--- a/internal/entry/capacity.go
+++ b/internal/entry/capacity.go
@@ -24,13 +24,13 @@
 	view := r.table.View()
 	now := time.Now()
 	for _, service := range r.entry.catalog.Load().services {
-		capacity := view.Room(now, routing.Request{Service: service.Name, Model: service.Model})
+		capacity := view.Capacity(now, routing.Request{Service: service.Name, Model: service.Model})
 		if capacity.Servers == 0 {
 			r.entry.admission.SetCapacity(service.Name, 0)
 			continue
 		}
 		free := capacity.Free
-		if capacity.Own < capacity.Slots && r.entry.admission.Status(service.Name).Queued > 0 {
+		if capacity.InFlight < capacity.Slots && r.entry.admission.Status(service.Name).Queued > 0 {
 			free++
 		}
 		r.entry.admission.SetFree(service.Name, free)
@@ -42,7 +42,7 @@
 // with the frames of an answer.
 func (r *router) noteInFlight(ctx context.Context, vm string, inFlight int) {
 	now := time.Now()
-	r.step(ctx, routing.Counted{VM: vm, InFlight: inFlight})
+	r.step(ctx, routing.InFlightCounted{VM: vm, InFlight: inFlight})
 	last := r.lastCountUpdate.Load()
 	if now.UnixNano()-last >= int64(capacityInterval) && r.lastCountUpdate.CompareAndSwap(last, now.UnixNano()) {
 		r.wakeCapacity()
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -146,10 +146,10 @@
 			go r.watch(watchCtx, act.VM, act.Addr)
 		case routing.StopWatch:
 			r.stopWatch(act.VM)
-		case routing.SetAside:
+		case routing.Ejected:
 			r.entry.metrics.ejections.WithLabelValues(string(act.Cause)).Inc()
 			r.entry.cfg.Logger.Warn().Str("vm", act.VM).Str("cause", string(act.Cause)).Msg("backend server set aside")
-		case routing.PutBack:
+		case routing.Restored:
 			r.entry.cfg.Logger.Info().Str("vm", act.VM).Msg("backend server gets its full share of requests again")
 		}
 	}
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -226,7 +226,7 @@
 		defer resp.Body.Close()
 	}
 	for _, action := range b.entry.router.table.Step(time.Now().Add(time.Hour), routing.Tick{}) {
-		_, aside := action.(routing.SetAside)
-		require.False(t, aside, "%+v", action)
+		_, ejected := action.(routing.Ejected)
+		require.False(t, ejected, "%+v", action)
 	}
 }
--- a/internal/entry/testbed_test.go
+++ b/internal/entry/testbed_test.go
@@ -214,7 +214,7 @@
 		if a.version != "" {
 			request.Model = "m"
 		}
-		return b.entry.router.table.View().Room(time.Now(), request).Servers == 1
+		return b.entry.router.table.View().Capacity(time.Now(), request).Servers == 1
 	}, waitLimit, time.Millisecond)
 }
 
--- a/internal/routing/action.go
+++ b/internal/routing/action.go
@@ -13,16 +13,16 @@
 // StopWatch ends the Watch stream of a VM.
 type StopWatch struct{ VM string }
 
-// SetAside reports, for logs and metrics, that a backend server was ejected.
-type SetAside struct {
+// Ejected reports, for logs and metrics, that a backend server was ejected.
+type Ejected struct {
 	VM    string
 	Cause EjectionCause
 }
 
-// PutBack reports that an ejected backend server gets its full share again.
-type PutBack struct{ VM string }
+// Restored reports that an ejected backend server gets its full share again.
+type Restored struct{ VM string }
 
 func (StartWatch) isAction() {}
 func (StopWatch) isAction()  {}
-func (SetAside) isAction()   {}
-func (PutBack) isAction()    {}
+func (Ejected) isAction()    {}
+func (Restored) isAction()   {}
--- a/internal/routing/event.go
+++ b/internal/routing/event.go
@@ -65,14 +65,14 @@
 type Dispatched struct {
 	VM string
 	ID string
-	// Whole is true for an answer that is not streamed. The time to its first
+	// Unstreamed is true for an answer that is not streamed. The time to its first
 	// byte is that of the whole request, so it is no latency sample, and the
 	// request may wait longer than others before it counts as stalled.
-	Whole bool
+	Unstreamed bool
 }
 
-// Counted is an agent's count of requests in flight, received with an answer.
-type Counted struct {
+// InFlightCounted is an agent's count of requests in flight, received with an answer.
+type InFlightCounted struct {
 	VM       string
 	InFlight int
 }
@@ -133,19 +133,19 @@
 	Version Version
 }
 
-func (ZonesChanged) isEvent()  {}
-func (RulesChanged) isEvent()  {}
-func (VMsChanged) isEvent()    {}
-func (MemberChanged) isEvent() {}
-func (MemberGone) isEvent()    {}
-func (AgentState) isEvent()    {}
-func (WatchLost) isEvent()     {}
-func (Tick) isEvent()          {}
-func (Dispatched) isEvent()    {}
-func (Counted) isEvent()       {}
-func (FirstToken) isEvent()    {}
-func (Finished) isEvent()      {}
-func (NotRun) isEvent()        {}
+func (ZonesChanged) isEvent()    {}
+func (RulesChanged) isEvent()    {}
+func (VMsChanged) isEvent()      {}
+func (MemberChanged) isEvent()   {}
+func (MemberGone) isEvent()      {}
+func (AgentState) isEvent()      {}
+func (WatchLost) isEvent()       {}
+func (Tick) isEvent()            {}
+func (Dispatched) isEvent()      {}
+func (InFlightCounted) isEvent() {}
+func (FirstToken) isEvent()      {}
+func (Finished) isEvent()        {}
+func (NotRun) isEvent()          {}
 
 // StateFromRPC converts a message of the Watch stream.
 func StateFromRPC(m *rpc.AgentState) AgentState {
--- a/internal/routing/leaving_test.go
+++ b/internal/routing/leaving_test.go
@@ -16,7 +16,7 @@
 	b := newTestTable(t, 4, Config{})
 	b.serveAll(4, 6, nil)
 	for _, id := range []string{"x", "y", "z"} {
-		b.step(Dispatched{VM: "s1", ID: id, Whole: true})
+		b.step(Dispatched{VM: "s1", ID: id, Unstreamed: true})
 	}
 	b.advanceWithHeartbeats(4, 3*time.Second)
 	require.Empty(t, b.step(Tick{}))
@@ -27,10 +27,10 @@
 	require.InDelta(t, latency, b.table.servers["s1"].health.latency, 0)
 	require.Empty(t, b.table.servers["s1"].waiting)
 	for range 6 {
-		b.step(Dispatched{VM: "s1", ID: "f", Whole: true})
+		b.step(Dispatched{VM: "s1", ID: "f", Unstreamed: true})
 		b.step(Finished{VM: "s1", ID: "f", Outcome: Failed})
 	}
-	require.Equal(t, []Action{SetAside{"s1", EjectedFailing}}, b.step(Tick{}))
+	require.Equal(t, []Action{Ejected{"s1", EjectedFailing}}, b.step(Tick{}))
 }
 
 // A drained VM gets no requests, whatever its agent reports, also if it joins only
@@ -56,7 +56,7 @@
 	choice, reason := b.table.Pick(b.now, request, b.rng)
 	require.Equal(t, Picked, reason)
 	require.True(t, choice.LastResort)
-	room := b.table.View().Room(b.now, request)
-	require.Equal(t, 1, room.Servers)
-	require.Positive(t, room.Free)
+	capacity := b.table.View().Capacity(b.now, request)
+	require.Equal(t, 1, capacity.Servers)
+	require.Positive(t, capacity.Free)
 }
--- a/internal/routing/outlier.go
+++ b/internal/routing/outlier.go
@@ -20,10 +20,10 @@
 	// token after which a request is overdue; a backend server with two overdue
 	// requests is stalled.
 	StallFactor float64
-	// WholeStallFactor times the median, but at least WholeStallMin, replaces
+	// UnstreamedStallFactor times the median, but at least UnstreamedStallMin, replaces
 	// it for answers that are not streamed, whose duration varies much more.
-	WholeStallFactor float64
-	WholeStallMin    time.Duration
+	UnstreamedStallFactor float64
+	UnstreamedStallMin    time.Duration
 	// A backend server is failing if its share of failures exceeds ErrorRatio
 	// and LatencyFactor times the peers' median.
 	ErrorRatio float64
@@ -51,8 +51,8 @@
 		LatencySlack:  20 * time.Millisecond,
 		StallFactor:   10,
 
-		WholeStallFactor: 100,
-		WholeStallMin:    2 * time.Minute,
+		UnstreamedStallFactor: 100,
+		UnstreamedStallMin:    2 * time.Minute,
 
 		ErrorRatio:      0.3,
 		MaxEjectedShare: 0.3,
@@ -70,8 +70,8 @@
 	c.LatencyFactor = orDefault(c.LatencyFactor, d.LatencyFactor)
 	c.LatencySlack = orDefault(c.LatencySlack, d.LatencySlack)
 	c.StallFactor = orDefault(c.StallFactor, d.StallFactor)
-	c.WholeStallFactor = orDefault(c.WholeStallFactor, d.WholeStallFactor)
-	c.WholeStallMin = orDefault(c.WholeStallMin, d.WholeStallMin)
+	c.UnstreamedStallFactor = orDefault(c.UnstreamedStallFactor, d.UnstreamedStallFactor)
+	c.UnstreamedStallMin = orDefault(c.UnstreamedStallMin, d.UnstreamedStallMin)
 	c.ErrorRatio = orDefault(c.ErrorRatio, d.ErrorRatio)
 	c.MaxEjectedShare = orDefault(c.MaxEjectedShare, d.MaxEjectedShare)
 	c.Backoff = orDefault(c.Backoff, d.Backoff)
@@ -210,12 +210,12 @@
 // overdue counts the requests that have waited too long for their first token.
 func (s *server) overdue(now time.Time, peers peerStats, cfg *OutlierConfig) int {
 	limit := cfg.StallFactor*peers.latency + cfg.LatencySlack.Seconds()
-	wholeLimit := max(cfg.WholeStallFactor*peers.latency, cfg.WholeStallMin.Seconds())
+	unstreamedLimit := max(cfg.UnstreamedStallFactor*peers.latency, cfg.UnstreamedStallMin.Seconds())
 	n := 0
 	for _, w := range s.waiting {
 		allowed := limit
-		if w.whole {
-			allowed = wholeLimit
+		if w.unstreamed {
+			allowed = unstreamedLimit
 		}
 		if now.Sub(w.since).Seconds() > allowed {
 			n++
@@ -251,7 +251,7 @@
 		}
 		if cause, bad := s.outlierCause(now, peers, cfg); bad {
 			s.health.eject(now, cfg)
-			actions = append(actions, SetAside{s.member.VM, cause})
+			actions = append(actions, Ejected{s.member.VM, cause})
 			allowed--
 		}
 	}
--- a/internal/routing/outlier_test.go
+++ b/internal/routing/outlier_test.go
@@ -33,7 +33,7 @@
 
 func TestSlowServerIsEjectedAndProbed(t *testing.T) {
 	b := newTestTable(t, 4, Config{})
-	require.Equal(t, []Action{SetAside{"s2", EjectedSlow}}, b.serveAll(4, 6, map[int]bool{2: true}))
+	require.Equal(t, []Action{Ejected{"s2", EjectedSlow}}, b.serveAll(4, 6, map[int]bool{2: true}))
 	require.Zero(t, b.picks(100, Request{Model: "m"})["s2"])
 
 	// After its ejection: one probe, and no other while that is in flight.
@@ -45,7 +45,7 @@
 	require.Less(t, b.picks(100, Request{Model: "m"})["s2"], 10)
 
 	// Still slow: ejected again, for twice as long.
-	require.Equal(t, []Action{SetAside{"s2", EjectedSlow}},
+	require.Equal(t, []Action{Ejected{"s2", EjectedSlow}},
 		b.step(Finished{VM: "s2", ID: "p", FirstToken: time.Second}))
 	b.advanceWithHeartbeats(4, 15*time.Second)
 	b.step(Tick{})
@@ -61,7 +61,7 @@
 		actions = append(actions, b.serve("s2", 100*time.Millisecond, Completed)...)
 	}
 	require.Equal(t, []float64{0.05, 0.1, 0.2, 0.4, 0.8}, shares)
-	require.Equal(t, []Action{PutBack{"s2"}}, actions)
+	require.Equal(t, []Action{Restored{"s2"}}, actions)
 }
 
 func TestFailingServerIsEjected(t *testing.T) {
@@ -72,7 +72,7 @@
 		}
 		b.serve("s3", 0, Failed)
 	}
-	require.Equal(t, []Action{SetAside{"s3", EjectedFailing}}, b.step(Tick{}))
+	require.Equal(t, []Action{Ejected{"s3", EjectedFailing}}, b.step(Tick{}))
 }
 
 // A backend server that hangs finishes no request, so it gives no samples.
@@ -84,19 +84,19 @@
 	b.step(Dispatched{VM: "s0", ID: "z"})
 	b.step(FirstToken{"s0", "z", 100 * time.Millisecond}) // a long answer that has begun
 	b.advanceWithHeartbeats(4, 3*time.Second)
-	require.Equal(t, []Action{SetAside{"s1", EjectedStalled}}, b.step(Tick{}))
+	require.Equal(t, []Action{Ejected{"s1", EjectedStalled}}, b.step(Tick{}))
 }
 
 // Answers that are not streamed may take long before their first byte.
 func TestWholeAnswersStallLater(t *testing.T) {
 	b := newTestTable(t, 4, Config{})
 	b.serveAll(4, 6, nil)
-	b.step(Dispatched{VM: "s1", ID: "x", Whole: true})
-	b.step(Dispatched{VM: "s1", ID: "y", Whole: true})
+	b.step(Dispatched{VM: "s1", ID: "x", Unstreamed: true})
+	b.step(Dispatched{VM: "s1", ID: "y", Unstreamed: true})
 	b.advanceWithHeartbeats(4, time.Minute) // a thousand tokens
 	require.Empty(t, b.step(Tick{}))
 	b.advanceWithHeartbeats(4, 2*time.Minute)
-	require.Equal(t, []Action{SetAside{"s1", EjectedStalled}}, b.step(Tick{}))
+	require.Equal(t, []Action{Ejected{"s1", EjectedStalled}}, b.step(Tick{}))
 }
 
 // Cancelled requests are no samples, a service whose backend servers all slow
@@ -121,7 +121,7 @@
 // The better of two backend servers is the reference for the other.
 func TestOneOfTwoServersIsEjected(t *testing.T) {
 	b := newTestTable(t, 2, Config{})
-	require.Equal(t, []Action{SetAside{"s1", EjectedSlow}}, b.serveAll(2, 6, map[int]bool{1: true}))
+	require.Equal(t, []Action{Ejected{"s1", EjectedSlow}}, b.serveAll(2, 6, map[int]bool{1: true}))
 	b.step(AgentState{VM: "s0", Incarnation: 1, Seq: 1000, Leaving: true})
 	c, reason := b.pick(Request{Model: "m"})
 	require.Equal(t, Picked, reason)
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -21,8 +21,8 @@
 	Prefix uint64
 	// Zone of the entry; if empty, that of the table's Config.
 	Zone string
-	// Whole is passed on to Dispatched.
-	Whole bool
+	// Unstreamed is passed on to Dispatched.
+	Unstreamed bool
 	// Excluded VMs are not picked, such as those of failed attempts.
 	Excluded []string
 }
@@ -57,8 +57,8 @@
 	ReasonAllLeaving Reason = "all leaving"
 	// ReasonAllExcluded: the request excludes all of them.
 	ReasonAllExcluded Reason = "all excluded"
-	// ReasonAllAside: those that the request does not exclude are ejected.
-	ReasonAllAside Reason = "all set aside"
+	// ReasonAllEjected: those that the request does not exclude are ejected.
+	ReasonAllEjected Reason = "all set aside"
 	// ReasonFull: none has a free slot.
 	ReasonFull Reason = "full"
 )
@@ -159,7 +159,7 @@
 	case len(t.ejected) > 0 && t.excluded == 0:
 		return t.ejected, Picked
 	case len(t.ejected) > 0:
-		return nil, ReasonAllAside
+		return nil, ReasonAllEjected
 	case t.excluded > 0:
 		return nil, ReasonAllExcluded
 	case t.notLive > 0:
@@ -216,39 +216,39 @@
 	return version
 }
 
-// Room is the capacity of a service as this entry estimates it.
-type Room struct {
+// Capacity is the load that a service can take, as this entry estimates it.
+type Capacity struct {
 	// Servers counts the backend servers that may be picked.
 	Servers int
-	// Slots is the sum of their slots, and Own the number of this entry's
+	// Slots is the sum of their slots, and InFlight the number of this entry's
 	// requests in flight there.
-	Slots int
-	Own   int
+	Slots    int
+	InFlight int
 	// Free is the number of free slots; other entries may take the same ones.
 	// Below 0 it is this entry's part of the requests beyond the slots.
 	Free int
 }
 
-// Room sums over the backend servers that Pick chooses from. One that is warming
+// Capacity sums over the backend servers that Pick chooses from. One that is warming
 // up or being probed counts with its share. Slots in use are counted by this entry
 // and the agents, not by the load that backend servers report: that is late, and
 // would count this entry's own recent requests as those of others.
-func (v *View) Room(now time.Time, req Request) Room {
-	var room Room
+func (v *View) Capacity(now time.Time, req Request) Capacity {
+	var capacity Capacity
 	over := 0.0
 	servers, _ := v.tally(now, req).servers(v.announced[req.Service])
 	for _, s := range servers {
 		slots := s.share(now) * s.slots()
-		room.Servers++
-		room.Own += int(s.count.inFlight.Load())
-		room.Slots += int(slots)
+		capacity.Servers++
+		capacity.InFlight += int(s.count.inFlight.Load())
+		capacity.Slots += int(slots)
 		left := slots - s.countedLoad(now)
 		if left >= 0 {
-			room.Free += int(math.Round(left))
+			capacity.Free += int(math.Round(left))
 			continue
 		}
 		over += left * float64(s.count.inFlight.Load()) / s.countedLoad(now)
 	}
-	room.Free += int(math.Round(over))
-	return room
+	capacity.Free += int(math.Round(over))
+	return capacity
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -55,7 +55,7 @@
 		if reason != Picked {
 			return choice, reason
 		}
-		if r.dispatch(now, id, req.Whole, choice, attempt >= maxAttempts) {
+		if r.dispatch(now, id, req.Unstreamed, choice, attempt >= maxAttempts) {
 			return choice, Picked
 		}
 	}
@@ -64,7 +64,7 @@
 // dispatch counts the request, unless the backend server has begun to leave or
 // was removed since the snapshot was made, or has no free slot and force is not
 // set.
-func (r *Router) dispatch(now time.Time, id string, whole bool, choice Choice, force bool) bool {
+func (r *Router) dispatch(now time.Time, id string, unstreamed bool, choice Choice, force bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.table.servers[choice.VM]
@@ -74,11 +74,11 @@
 	if !force && s.count.inFlight.Load() >= int64(r.table.slots(s)) {
 		return false
 	}
-	s.dispatched(now, id, whole)
+	s.dispatched(now, id, unstreamed)
 	return true
 }
 
-// View returns the current snapshot, for Pick without dispatch and for Room.
+// View returns the current snapshot, for Pick without dispatch and for Capacity.
 func (r *Router) View() *View {
 	if !r.stale.Load() {
 		return r.latest.Load()
--- a/internal/routing/server.go
+++ b/internal/routing/server.go
@@ -83,9 +83,9 @@
 type pendingRequest struct {
 	// since is when it was dispatched.
 	since time.Time
-	// whole is true for an answer that is not streamed: its first byte arrives
+	// unstreamed is true for an answer that is not streamed: its first byte arrives
 	// with its last.
-	whole bool
+	unstreamed bool
 }
 
 func newServer(m inventory.Member) *server {
--- a/internal/routing/sim/serve.go
+++ b/internal/routing/sim/serve.go
@@ -163,7 +163,7 @@
 
 func (s *simulation) countFalseEjections(actions []routing.Action) {
 	for _, a := range actions {
-		ejection, ok := a.(routing.SetAside)
+		ejection, ok := a.(routing.Ejected)
 		if ok && !s.degraded[ejection.VM] {
 			s.falseEjections++
 		}
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -74,9 +74,9 @@
 		}
 	case Dispatched:
 		if s := t.servers[e.VM]; s != nil {
-			s.dispatched(now, e.ID, e.Whole)
+			s.dispatched(now, e.ID, e.Unstreamed)
 		}
-	case Counted:
+	case InFlightCounted:
 		if s := t.servers[e.VM]; s != nil {
 			s.count.setAgentCount(now, e.InFlight)
 		}
@@ -96,10 +96,10 @@
 	return nil
 }
 
-func (s *server) dispatched(now time.Time, id string, whole bool) {
+func (s *server) dispatched(now time.Time, id string, unstreamed bool) {
 	s.count.inFlight.Add(1)
 	s.count.lastDispatch.Store(now.UnixNano())
-	s.waiting[id] = pendingRequest{since: now, whole: whole}
+	s.waiting[id] = pendingRequest{since: now, unstreamed: unstreamed}
 }
 
 func (t *Table) finished(now time.Time, s *server, e Finished) []Action {
@@ -113,7 +113,7 @@
 	if !waiting && !failed {
 		return nil // its first token has been counted
 	}
-	if w.whole {
+	if w.unstreamed {
 		return t.recordSample(now, s, e.ID, 0, failed)
 	}
 	latency := e.FirstToken
@@ -140,10 +140,10 @@
 	}
 	t.view = nil
 	if s.health.recordProbe(now, latency, failed, t.peers[s.member.Service], cfg) {
-		return []Action{PutBack{s.member.VM}}
+		return []Action{Restored{s.member.VM}}
 	}
 	if s.health.phase == phaseEjected {
-		return []Action{SetAside{s.member.VM, ejectionCause(failed)}}
+		return []Action{Ejected{s.member.VM, ejectionCause(failed)}}
 	}
 	return nil
 }
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -127,7 +127,7 @@
 		{"excluded", 1, func(*testTable) {}, Request{Model: "m", Excluded: []string{"s0"}}, ReasonAllExcluded},
 		{"ejected as a last resort", 1, func(b *testTable) { b.table.servers["s0"].health.phase = phaseEjected }, model, Picked},
 		{"ejected or excluded", 2, func(b *testTable) { b.table.servers["s0"].health.phase = phaseEjected },
-			Request{Model: "m", Excluded: []string{"s1"}}, ReasonAllAside},
+			Request{Model: "m", Excluded: []string{"s1"}}, ReasonAllEjected},
 		{"removed", 1, func(b *testTable) { b.step(MemberGone{"s0"}) }, model, ReasonNoneAnnounced},
 		{"old state after a restart", 1, func(b *testTable) {
 			m := member(0, inventory.MemberUp)
@@ -304,8 +304,8 @@
 	b := newTestTable(t, 3, Config{})
 	b.step(Dispatched{VM: "s0", ID: "1"})
 	b.send(1, AgentState{Leaving: true}, "v1")
-	room := b.table.View().Room(b.now, Request{Service: "chat", Model: "m"})
-	require.Equal(t, Room{Servers: 2, Slots: 8, Own: 1, Free: 7}, room)
+	capacity := b.table.View().Capacity(b.now, Request{Service: "chat", Model: "m"})
+	require.Equal(t, Capacity{Servers: 2, Slots: 8, InFlight: 1, Free: 7}, capacity)
 }
 
 // If the entries together exceed the slots of a backend server, each gives up its
@@ -313,15 +313,15 @@
 func TestRoomSharesExcessRequests(t *testing.T) {
 	b := newTestTable(t, 1, Config{})
 	b.advanceWithHeartbeats(1, 0)
-	slots := b.table.View().Room(b.now, Request{Service: "chat", Model: "m"}).Slots
+	slots := b.table.View().Capacity(b.now, Request{Service: "chat", Model: "m"}).Slots
 	view := b.table.View()
 	for i := range slots / 2 {
 		b.step(Dispatched{"s0", fmt.Sprint(i), false})
 	}
-	free := func() int { return view.Room(b.now, Request{Service: "chat", Model: "m"}).Free }
+	free := func() int { return view.Capacity(b.now, Request{Service: "chat", Model: "m"}).Free }
 	require.Equal(t, slots/2, free())
-	b.step(Counted{"s0", slots})
+	b.step(InFlightCounted{"s0", slots})
 	require.Equal(t, 0, free())
-	b.step(Counted{"s0", 2 * slots})
+	b.step(InFlightCounted{"s0", 2 * slots})
 	require.Equal(t, -slots/4, free())
 }
