--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -104,7 +104,7 @@
 		term: st.Term,
 		registry: registry.New(registry.Config{
 			Lease:       l.cfg.Lease,
-			ForgetAfter: l.cfg.ForgetAfter,
+			RemoveAfter: l.cfg.RemoveAfter,
 		}, now),
 		planDue:   now.Add(l.cfg.PlanDelay),
 		claimsDue: now.Add(claimExpiryInterval),
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -73,7 +73,7 @@
 
 func (l *loop) proposeClaimExpiry(now time.Time) {
 	l.leadership.claimsDue = now.Add(claimExpiryInterval)
-	if l.machine.HoldsClaims() {
+	if l.machine.MayHaveClaims() {
 		l.propose(proposal{command: state.Expire{Now: claims.Millis(now.UnixMilli())}})
 	}
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -22,7 +22,7 @@
 // Defaults of Config.
 const (
 	DefaultLease          = 30 * time.Second
-	DefaultForgetAfter    = 24 * time.Hour
+	DefaultRemoveAfter    = 24 * time.Hour
 	DefaultProposeTimeout = 5 * time.Second
 	DefaultPlanDelay      = 100 * time.Millisecond
 	DefaultConfirmWindow  = 3 * time.Second
@@ -68,8 +68,8 @@
 	// Lease is how long a daemon counts as up after its last announcement; at
 	// least two seconds.
 	Lease time.Duration
-	// ForgetAfter is how long a member must be down before its record is removed.
-	ForgetAfter time.Duration
+	// RemoveAfter is how long a member must be down before its record is removed.
+	RemoveAfter time.Duration
 	// ProposeTimeout bounds one proposal to the log or one read confirmed by it.
 	ProposeTimeout time.Duration
 	// PlanDelay is the minimum time between an event and the plan that it
@@ -91,7 +91,7 @@
 
 func (c Config) withDefaults() Config {
 	setDefault(&c.Lease, DefaultLease)
-	setDefault(&c.ForgetAfter, DefaultForgetAfter)
+	setDefault(&c.RemoveAfter, DefaultRemoveAfter)
 	setDefault(&c.ProposeTimeout, DefaultProposeTimeout)
 	setDefault(&c.PlanDelay, DefaultPlanDelay)
 	setDefault(&c.ConfirmWindow, DefaultConfirmWindow)
--- a/internal/control/state/command.go
+++ b/internal/control/state/command.go
@@ -76,8 +76,8 @@
 type Expired struct {
 	VM          string `json:"vm"`
 	Incarnation uint64 `json:"incarnation"`
-	// Forget removes the member's records instead of marking it down.
-	Forget bool `json:"forget,omitempty"`
+	// Remove removes the member's records instead of marking it down.
+	Remove bool `json:"forget,omitempty"`
 }
 
 // Assign carries a plan. It is dropped if the key space is no longer at Base, the
--- a/internal/control/state/machine.go
+++ b/internal/control/state/machine.go
@@ -50,7 +50,7 @@
 }
 
 // Machine is the replicated state machine. Apply, Snapshot and Restore must be
-// called from one goroutine; Audit and HoldsClaims may be called from any.
+// called from one goroutine; Audit and MayHaveClaims may be called from any.
 type Machine struct {
 	publisher Publisher
 
@@ -63,8 +63,8 @@
 	audit     auditTrail
 	claims    *claims.Table
 	published atomic.Pointer[[]inventory.AuditRecord]
-	// holdsClaims is true if the claims table may have entries.
-	holdsClaims atomic.Bool
+	// mayHaveClaims is true if the claims table may have entries.
+	mayHaveClaims atomic.Bool
 }
 
 // New returns an empty machine at revision 0.
@@ -108,13 +108,13 @@
 		m.advanceTime(c.Time)
 		return m.applyAssign(c)
 	case Claim:
-		m.holdsClaims.Store(true)
+		m.mayHaveClaims.Store(true)
 		return m.claims.Claim(c.Claim)
 	case Settle:
 		return m.claims.Settle(c.Settle)
 	case Expire:
 		m.claims.Expire(c.Now)
-		m.holdsClaims.Store(m.claims.Stats().Claims > 0)
+		m.mayHaveClaims.Store(m.claims.Stats().Claims > 0)
 		return nil
 	default:
 		panic(fmt.Sprintf("control state: log entry %d: unhandled command %T", index, c))
@@ -124,8 +124,8 @@
 // Audit returns the audit records, oldest first. The caller must not modify them.
 func (m *Machine) Audit() []inventory.AuditRecord { return *m.published.Load() }
 
-// HoldsClaims reports whether there may be claims to expire.
-func (m *Machine) HoldsClaims() bool { return m.holdsClaims.Load() }
+// MayHaveClaims reports whether there may be claims to expire.
+func (m *Machine) MayHaveClaims() bool { return m.mayHaveClaims.Load() }
 
 // advanceTime sets the machine's time to t, unless t is earlier because the
 // leader's clock is behind its predecessor's.
--- a/internal/control/state/machine_test.go
+++ b/internal/control/state/machine_test.go
@@ -242,7 +242,7 @@
 	granted := claim("1")
 	require.Equal(t, claims.Granted, granted.Verdict)
 	s.restart()
-	require.True(t, s.machine.HoldsClaims())
+	require.True(t, s.machine.MayHaveClaims())
 	require.Equal(t, claims.InProgress, claim("2").Verdict)
 	s.apply(Settle{claims.Settle{Organisation: "o", Key: "k", Token: granted.Token, Now: 2,
 		Limits: claims.DefaultLimits, Answer: &claims.Answer{Status: 200, Body: []byte("yes")}}})
@@ -252,11 +252,11 @@
 	require.Equal(t, "yes", string(again.Answer.Body))
 	require.Zero(t, s.machine.view.Revision(), "claims create no revisions")
 	s.apply(Expire{Now: claims.Millis(24 * time.Hour / time.Millisecond)})
-	require.True(t, s.machine.HoldsClaims(), "a jump of the leader's clock counts as one minute")
+	require.True(t, s.machine.MayHaveClaims(), "a jump of the leader's clock counts as one minute")
 	for minute := range 24 * 60 {
 		s.apply(Expire{Now: claims.Millis((24*60 + minute) * 60_000)})
 	}
-	require.False(t, s.machine.HoldsClaims(), "claims expire after a day in steps of one minute")
+	require.False(t, s.machine.MayHaveClaims(), "claims expire after a day in steps of one minute")
 	s.requireEqualTwin()
 }
 
--- a/internal/control/state/members.go
+++ b/internal/control/state/members.go
@@ -56,7 +56,7 @@
 	changes.put(inventory.PrefixAssign+member.VM, a)
 }
 
-// applyDown marks expired members down, or removes their records if Forget is
+// applyDown marks expired members down, or removes their records if Remove is
 // set. Members with another incarnation by now are left unchanged.
 func (m *Machine) applyDown(expired []Expired) {
 	var changes pending
@@ -73,7 +73,7 @@
 	if !ok || known.Incarnation != e.Incarnation {
 		return
 	}
-	if !e.Forget {
+	if !e.Remove {
 		if known.State != inventory.MemberDown {
 			known.State = inventory.MemberDown
 			changes.put(inventory.PrefixMember+e.VM, known)
--- a/internal/control/state/members_test.go
+++ b/internal/control/state/members_test.go
@@ -95,7 +95,7 @@
 				vm := vms.Draw(t, "vm")
 				before, known := f.memberOf(vm)
 				e := Expired{VM: vm, Incarnation: uint64(rapid.IntRange(1, 6).Draw(t, "incarnation"))}
-				e.Forget = rapid.Bool().Draw(t, "forget")
+				e.Remove = rapid.Bool().Draw(t, "forget")
 				f.apply(Down{Time: f.now, Members: []Expired{e}})
 				after, still := f.memberOf(vm)
 				if known && before.Incarnation != e.Incarnation {
--- a/internal/control/state/snapshot.go
+++ b/internal/control/state/snapshot.go
@@ -107,7 +107,7 @@
 	m.left = fresh.left
 	m.audit = fresh.audit
 	m.claims = fresh.claims
-	m.holdsClaims.Store(true)
+	m.mayHaveClaims.Store(true)
 	m.publishAudit()
 	m.publisher.Replace(m.view)
 	return nil
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -88,8 +88,8 @@
 	// Lease is how long a daemon counts as up after its last announcement. Under
 	// a new leader every member has one lease to announce itself.
 	Lease time.Duration
-	// ForgetAfter is how long a member must be down before its record is removed.
-	ForgetAfter time.Duration
+	// RemoveAfter is how long a member must be down before its record is removed.
+	RemoveAfter time.Duration
 }
 
 // key identifies a daemon; daemons of different roles may share a name.
@@ -180,9 +180,9 @@
 type Expired struct {
 	VM          string
 	Incarnation uint64
-	// Forget is true if the member has been down for longer than ForgetAfter and
+	// Remove is true if the member has been down for longer than RemoveAfter and
 	// its record is to be removed.
-	Forget bool
+	Remove bool
 }
 
 // Expire returns the members without a lease, in the order given, and drops
@@ -209,8 +209,8 @@
 			since = now
 		}
 		down[m.VM] = since
-		if now.Sub(since) > r.cfg.ForgetAfter {
-			out = append(out, Expired{VM: m.VM, Incarnation: m.Incarnation, Forget: true})
+		if now.Sub(since) > r.cfg.RemoveAfter {
+			out = append(out, Expired{VM: m.VM, Incarnation: m.Incarnation, Remove: true})
 		}
 	}
 	r.downSince = down
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -13,7 +13,7 @@
 	_ "lynxgate.dev/lynxgate/internal/testseed" // the same schedules every run
 )
 
-var testConfig = Config{Lease: 30 * time.Second, ForgetAfter: time.Hour}
+var testConfig = Config{Lease: 30 * time.Second, RemoveAfter: time.Hour}
 
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
@@ -70,7 +70,7 @@
 			}
 			expired := map[string]bool{}
 			for _, e := range r.Expire(members, now) {
-				require.False(t, e.Forget)
+				require.False(t, e.Remove)
 				require.EqualValues(t, 1, e.Incarnation)
 				expired[e.VM] = true
 			}
@@ -103,9 +103,9 @@
 	r := New(testConfig, epoch)
 	down := []inventory.Member{{VM: "a", Incarnation: 1, State: inventory.MemberDown}}
 	require.Empty(t, r.Expire(down, epoch))
-	require.Empty(t, r.Expire(down, epoch.Add(testConfig.ForgetAfter)))
-	late := epoch.Add(testConfig.ForgetAfter + time.Second)
-	require.Equal(t, []Expired{{VM: "a", Incarnation: 1, Forget: true}}, r.Expire(down, late))
+	require.Empty(t, r.Expire(down, epoch.Add(testConfig.RemoveAfter)))
+	late := epoch.Add(testConfig.RemoveAfter + time.Second)
+	require.Equal(t, []Expired{{VM: "a", Incarnation: 1, Remove: true}}, r.Expire(down, late))
 	r.Announce(agent("a", 1), &down[0], late)
 	require.Len(t, r.Daemons(), 1)
 	require.Empty(t, r.Expire(nil, late.Add(21*testConfig.Lease)))
