--- a/internal/weights/swarm/assignment.go
+++ b/internal/weights/swarm/assignment.go
@@ -99,7 +99,7 @@
 // configured time, or longer if the origin is observed to be slow. It is capped
 // because an outage looks like a slow origin too.
 func (s *State) deadline() time.Duration {
-	minimum := max(s.cfg.OriginDeadline, time.Duration(s.cfg.DeadlineChunks)*s.chunkTime)
+	minimum := max(s.cfg.OriginDeadline, time.Duration(s.cfg.OriginDeadlineChunks)*s.chunkTime)
 	observed := lateIntervals * s.assignment.interval * time.Duration(len(s.assignment.fetchers))
 	return min(max(minimum, observed), deadlineLimit*minimum)
 }
--- a/internal/weights/swarm/event.go
+++ b/internal/weights/swarm/event.go
@@ -51,14 +51,14 @@
 	Limited
 	// Failed: any other failure of the peer, the origin or the network.
 	Failed
-	// Dropped: a local failure (scratch folder) that does not count against
+	// LocalFailure: a local failure (scratch folder) that does not count against
 	// the peer or the origin.
-	Dropped
+	LocalFailure
 )
 
-// Ended reports the outcome of a request. Requests that were cancelled by an
+// RequestEnded reports the outcome of a request. Requests that were cancelled by an
 // action have no outcome.
-type Ended struct {
+type RequestEnded struct {
 	ID         uint64
 	Outcome    Outcome
 	RetryAfter time.Duration
@@ -72,7 +72,7 @@
 func (PeerQueue) event()      {}
 func (PeerLost) event()       {}
 func (Progress) event()       {}
-func (Ended) event()          {}
+func (RequestEnded) event()   {}
 func (Tick) event()           {}
 
 // Action is something that package transfer has to carry out.
@@ -98,27 +98,27 @@
 	Store bool
 }
 
-// Cancel cancels a request; no Ended event follows.
+// Cancel cancels a request; no RequestEnded event follows.
 type Cancel struct{ ID uint64 }
 
 // Seen reports chunks that are newly known to be held by some member.
 type Seen struct{ Indexes []int }
 
-// SetAside reports that a peer is ejected for a time because of its strikes.
-type SetAside struct {
+// PeerEjected reports that a peer is ejected for a time because of its strikes.
+type PeerEjected struct {
 	VM  string
 	For time.Duration
 }
 
-// Stalled reports that a request was cancelled because it made no progress. VM
+// RequestStalled reports that a request was cancelled because it made no progress. VM
 // is empty for the origin.
-type Stalled struct{ VM string }
-
-func (Connect) action()    {}
-func (Disconnect) action() {}
-func (Request) action()    {}
-func (Fetch) action()      {}
-func (Cancel) action()     {}
-func (Seen) action()       {}
-func (SetAside) action()   {}
-func (Stalled) action()    {}
+type RequestStalled struct{ VM string }
+
+func (Connect) action()        {}
+func (Disconnect) action()     {}
+func (Request) action()        {}
+func (Fetch) action()          {}
+func (Cancel) action()         {}
+func (Seen) action()           {}
+func (PeerEjected) action()    {}
+func (RequestStalled) action() {}
--- a/internal/weights/swarm/model_test.go
+++ b/internal/weights/swarm/model_test.go
@@ -270,7 +270,7 @@
 		a.end(x.ID, Failed)
 	case m.rng.Float64() < m.limited:
 		delete(a.open, x.ID)
-		a.step(Ended{ID: x.ID, Outcome: Limited, RetryAfter: 50 * time.Millisecond})
+		a.step(RequestEnded{ID: x.ID, Outcome: Limited, RetryAfter: 50 * time.Millisecond})
 	default:
 		m.after(m.originTime, func() { a.fetchEnded(x) })
 	}
@@ -293,7 +293,7 @@
 	if outcome == Verified {
 		a.broadcast(PeerHaves{VM: a.peer.VM, Added: []uint32{uint32(index)}})
 	}
-	a.step(Ended{ID: id, Outcome: outcome})
+	a.step(RequestEnded{ID: id, Outcome: outcome})
 }
 
 func (a *actor) crash() {
--- a/internal/weights/swarm/source.go
+++ b/internal/weights/swarm/source.go
@@ -48,7 +48,7 @@
 	return max(backoff(first, o.failures), min(maxBackoff, slowFactor*o.average))
 }
 
-func (o *source) requestEnded(ev Ended, took time.Duration, now time.Time) {
+func (o *source) requestEnded(ev RequestEnded, took time.Duration, now time.Time) {
 	switch ev.Outcome {
 	case Verified:
 		o.failures = 0
@@ -56,7 +56,7 @@
 		o.gap -= time.Duration(gapShrink * float64(o.gap))
 	case Limited:
 		o.limited(ev.RetryAfter, now)
-	case Dropped:
+	case LocalFailure:
 	default:
 		o.failed(now)
 	}
--- a/internal/weights/swarm/step.go
+++ b/internal/weights/swarm/step.go
@@ -57,7 +57,7 @@
 		if r := s.requests[ev.ID]; r != nil {
 			r.progress = now
 		}
-	case Ended:
+	case RequestEnded:
 		return s.ended(ev, now)
 	case Tick:
 		return s.substitute(now)
@@ -234,7 +234,7 @@
 	}
 }
 
-func (s *State) ended(ev Ended, now time.Time) []Action {
+func (s *State) ended(ev RequestEnded, now time.Time) []Action {
 	r := s.requests[ev.ID]
 	if r == nil {
 		return nil
@@ -274,7 +274,7 @@
 }
 
 // updateHealth updates the peer's health from the outcome of its request.
-func (s *State) updateHealth(p *peer, r *request, ev Ended, now time.Time) []Action {
+func (s *State) updateHealth(p *peer, r *request, ev RequestEnded, now time.Time) []Action {
 	switch ev.Outcome {
 	case Verified:
 		s.recordDuration(now.Sub(r.started))
@@ -297,7 +297,7 @@
 		p.busy = now.Add(ev.RetryAfter)
 	case Failed:
 		s.backOff(p, firstBackoff, now)
-	case Dropped:
+	case LocalFailure:
 	}
 	return nil
 }
@@ -320,9 +320,9 @@
 		return nil
 	}
 	p.strikes = 0
-	p.notBefore = now.Add(s.cfg.AsideFor)
+	p.notBefore = now.Add(s.cfg.EjectionTime)
 	p.markUnhealthy(now)
-	return []Action{SetAside{VM: p.VM, For: s.cfg.AsideFor}}
+	return []Action{PeerEjected{VM: p.VM, For: s.cfg.EjectionTime}}
 }
 
 // backOff sends no requests to a peer for a time that doubles with each
@@ -363,11 +363,11 @@
 		out = append(out, Cancel{ID: r.id})
 		if r.peer == nil {
 			s.source.failed(now)
-			out = append(out, Stalled{})
+			out = append(out, RequestStalled{})
 			continue
 		}
 		s.backOff(r.peer, timeout, now)
-		out = append(out, Stalled{VM: r.peer.VM})
+		out = append(out, RequestStalled{VM: r.peer.VM})
 	}
 	return out
 }
--- a/internal/weights/swarm/swarm.go
+++ b/internal/weights/swarm/swarm.go
@@ -51,17 +51,17 @@
 	OriginStreams int
 	// OriginDeadline is how long a designated fetcher may deliver nothing
 	// before the next in order replaces it. The deadline used is at least
-	// DeadlineChunks times the time that a chunk takes on the link.
-	OriginDeadline time.Duration
-	DeadlineChunks int
+	// OriginDeadlineChunks times the time that a chunk takes on the link.
+	OriginDeadline       time.Duration
+	OriginDeadlineChunks int
 	// ProgressTimeout is how long a request may receive no byte before it is
 	// cancelled. In a slow swarm the timeout is slowFactor times the average
 	// duration of a request.
 	ProgressTimeout time.Duration
 	// Strikes is the number of wrong answers (corrupt, or not held) after which
-	// a peer is ejected, and AsideFor is for how long.
-	Strikes  int
-	AsideFor time.Duration
+	// a peer is ejected, and EjectionTime is for how long.
+	Strikes      int
+	EjectionTime time.Duration
 }
 
 // Defaults of Config.
@@ -75,7 +75,7 @@
 	DefaultDeadlineChunksPreferOriginBytes = 20
 	DefaultProgressTimeout                 = time.Second
 	DefaultStrikes                         = 3
-	DefaultAsideFor                        = 30 * time.Second
+	DefaultEjectionTime                    = 30 * time.Second
 )
 
 const (
@@ -101,10 +101,10 @@
 		deadline, chunks = DefaultDeadlinePreferOriginBytes, DefaultDeadlineChunksPreferOriginBytes
 	}
 	setDefault(&c.OriginDeadline, deadline)
-	setDefault(&c.DeadlineChunks, chunks)
+	setDefault(&c.OriginDeadlineChunks, chunks)
 	setDefault(&c.ProgressTimeout, DefaultProgressTimeout)
 	setDefault(&c.Strikes, DefaultStrikes)
-	setDefault(&c.AsideFor, DefaultAsideFor)
+	setDefault(&c.EjectionTime, DefaultEjectionTime)
 	return c
 }
 
--- a/internal/weights/swarm/swarm_test.go
+++ b/internal/weights/swarm/swarm_test.go
@@ -143,19 +143,19 @@
 	}
 
 	later := m.now.Add(2 * deadlineLimit * DefaultDeadlinePreferOriginBytes)
-	events = []Event{Ended{ID: fetches[0].ID}, Progress{ID: fetches[1].ID}}
+	events = []Event{RequestEnded{ID: fetches[0].ID}, Progress{ID: fetches[1].ID}}
 	for _, a := range m.members[1:] {
 		require.NotEmpty(t, updates[a.peer.VM].Added)
 		events = append(events, *updates[a.peer.VM])
 	}
 	actions := s.Step(later, append(events, Tick{})...)
 	require.Equal(t, make([]bool, len(s.assignment.fetchers)), s.assignment.late, "marked late although their updates were queued")
-	require.NotContains(t, actions, Stalled{}, "cancelled although its progress was queued")
+	require.NotContains(t, actions, RequestStalled{}, "cancelled although its progress was queued")
 	for _, f := range fetchesOf(actions) {
 		require.Equal(t, own, fetcherOf(m, f.Index), "chunk of another fetcher")
 	}
 
-	s.Step(later.Add(2*deadlineLimit*DefaultDeadlinePreferOriginBytes), Ended{ID: fetches[1].ID})
+	s.Step(later.Add(2*deadlineLimit*DefaultDeadlinePreferOriginBytes), RequestEnded{ID: fetches[1].ID})
 	require.Contains(t, s.assignment.late, true, "no chunk was seen and no update was queued")
 }
 
@@ -187,7 +187,7 @@
 	}
 	p := s.peer(other.peer.VM)
 	require.True(t, m.now.Before(p.notBefore))
-	require.Greater(t, p.notBefore.Sub(m.now), DefaultAsideFor/2)
+	require.Greater(t, p.notBefore.Sub(m.now), DefaultEjectionTime/2)
 	require.LessOrEqual(t, asked, DefaultPerPeer)
 }
 
@@ -228,17 +228,17 @@
 func TestRequestGapFollowsRateLimit(t *testing.T) {
 	var o source
 	now := time.Unix(0, 0)
-	o.requestEnded(Ended{Outcome: Limited, RetryAfter: 3 * time.Second}, time.Second, now)
+	o.requestEnded(RequestEnded{Outcome: Limited, RetryAfter: 3 * time.Second}, time.Second, now)
 	require.False(t, o.available(now.Add(2900*time.Millisecond)))
 	require.True(t, o.available(now.Add(3*time.Second)))
 	require.False(t, o.store, "a rate-limited answer is not a failure")
 	for range 5 {
-		o.requestEnded(Ended{Outcome: Limited}, time.Second, now)
+		o.requestEnded(RequestEnded{Outcome: Limited}, time.Second, now)
 	}
 	slow := o.gap
 	require.Greater(t, slow, 10*firstGap)
 	for range 100 {
-		o.requestEnded(Ended{Outcome: Verified}, time.Second, now)
+		o.requestEnded(RequestEnded{Outcome: Verified}, time.Second, now)
 	}
 	require.Less(t, o.gap, slow/10)
 }
@@ -247,7 +247,7 @@
 	o := source{hasStore: true}
 	now := time.Unix(0, 0)
 	for range switchAfter {
-		o.requestEnded(Ended{Outcome: Failed}, time.Second, now)
+		o.requestEnded(RequestEnded{Outcome: Failed}, time.Second, now)
 	}
 	require.True(t, o.store)
 	require.True(t, o.available(now))
--- a/internal/weights/transfer/act.go
+++ b/internal/weights/transfer/act.go
@@ -32,10 +32,10 @@
 		v.cancelFetch(a.ID)
 	case swarm.Seen:
 		v.hub.addSeen(a.Indexes)
-	case swarm.SetAside:
+	case swarm.PeerEjected:
 		v.manager.metrics.ejected.Inc()
 		log.Warn().Str("version", v.ref.Ref()).Str("vm", a.VM).Dur("for", a.For).Msg("peer ejected for wrong answers")
-	case swarm.Stalled:
+	case swarm.RequestStalled:
 		v.manager.metrics.stalled.Inc()
 	}
 }
@@ -119,7 +119,7 @@
 func (v *version) request(a swarm.Request) {
 	l := v.links[a.VM]
 	if l == nil {
-		v.step(swarm.Ended{ID: a.ID, Outcome: swarm.Failed})
+		v.step(swarm.RequestEnded{ID: a.ID, Outcome: swarm.Failed})
 		return
 	}
 	m, files := v.files.Manifest(), v.files
@@ -127,7 +127,7 @@
 	memory := v.manager.memoryFor(length)
 	if !v.manager.memory.TryAcquire(memory) {
 		// Cancelled fetches may still use their buffers.
-		v.step(swarm.Ended{ID: a.ID, Outcome: swarm.Busy, RetryAfter: memoryRetry})
+		v.step(swarm.RequestEnded{ID: a.ID, Outcome: swarm.Busy, RetryAfter: memoryRetry})
 		return
 	}
 	d := &download{
@@ -152,7 +152,7 @@
 	}
 	if l.request(d) != nil {
 		d.release()
-		v.step(swarm.Ended{ID: a.ID, Outcome: swarm.Failed})
+		v.step(swarm.RequestEnded{ID: a.ID, Outcome: swarm.Failed})
 		return
 	}
 	v.fetches[a.ID] = func() { l.cancel(a.ID) }
@@ -174,7 +174,7 @@
 		length := m.ChunkLen(a.Index)
 		memory := v.manager.memoryFor(length)
 		if err := v.manager.memory.Acquire(ctx, memory); err != nil {
-			v.postEnded(files, a.ID, swarm.Dropped, 0) // cancelled while it waited for memory
+			v.postEnded(files, a.ID, swarm.LocalFailure, 0) // cancelled while it waited for memory
 			return
 		}
 		defer v.manager.memory.Release(memory)
@@ -214,7 +214,7 @@
 				v.failure = err
 			}
 		})
-		v.postEnded(files, a.ID, swarm.Dropped, 0)
+		v.postEnded(files, a.ID, swarm.LocalFailure, 0)
 		return
 	}
 	length := int64(len(data))
@@ -249,7 +249,7 @@
 
 func (v *version) requestEnded(id uint64, outcome swarm.Outcome, retry time.Duration) {
 	delete(v.fetches, id)
-	v.step(swarm.Ended{ID: id, Outcome: outcome, RetryAfter: retry})
+	v.step(swarm.RequestEnded{ID: id, Outcome: outcome, RetryAfter: retry})
 }
 
 func (v *version) cancelFetch(id uint64) {
--- a/internal/weights/transfer/harness_test.go
+++ b/internal/weights/transfer/harness_test.go
@@ -123,8 +123,8 @@
 	return Config{
 		VM: vm, Zone: zone, Dir: dir, Logger: zerolog.Nop(),
 		Swarm: swarm.Config{
-			OriginDeadline: 300 * time.Millisecond, DeadlineChunks: 1,
-			ProgressTimeout: 300 * time.Millisecond, AsideFor: 2 * time.Second,
+			OriginDeadline: 300 * time.Millisecond, OriginDeadlineChunks: 1,
+			ProgressTimeout: 300 * time.Millisecond, EjectionTime: 2 * time.Second,
 		},
 	}
 }
