--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -82,8 +82,8 @@
 	SetWanted(wanted []transfer.Wanted)
 	Status() []transfer.Progress
 	Changed() <-chan struct{}
-	ObserveLive(firstToken time.Duration)
-	SpendLive(up, down int)
+	ObserveFirstToken(firstToken time.Duration)
+	CountTraffic(up, down int)
 }
 
 // Agent is the proxy of one backend server. Create it with New.
--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -173,13 +173,13 @@
 // transfers may use on the VM's link.
 func (a *Agent) countTraffic(up, down int) {
 	if a.transfers != nil {
-		a.transfers.SpendLive(up, down)
+		a.transfers.CountTraffic(up, down)
 	}
 }
 
 func (a *Agent) observeFirstByte(d time.Duration) {
 	a.metrics.firstByte.Observe(d.Seconds())
 	if a.transfers != nil {
-		a.transfers.ObserveLive(d)
+		a.transfers.ObserveFirstToken(d)
 	}
 }
--- a/internal/bench/weights/probe.go
+++ b/internal/bench/weights/probe.go
@@ -80,7 +80,7 @@
 		_ = p.manager.Link().Down(ctx, pace.Live, probeBytes)
 		time.Sleep(engineTime)
 		_ = p.manager.Link().Up(ctx, pace.Live, probeBytes)
-		p.manager.ObserveLive(time.Since(began))
+		p.manager.ObserveFirstToken(time.Since(began))
 		if _, err := conn.Write(buf); err != nil {
 			return
 		}
--- a/internal/weights/pace/link.go
+++ b/internal/weights/pace/link.go
@@ -35,16 +35,16 @@
 	return l.down.take(ctx, class, bytes)
 }
 
-// SpendLive accounts for bytes of live requests that pass the link, up and down.
+// CountTraffic accounts for bytes of live requests that pass the link, up and down.
 // It does not delay them: transfers wait instead.
-func (l *Link) SpendLive(up, down int) {
+func (l *Link) CountTraffic(up, down int) {
 	l.up.spend(up)
 	l.down.spend(down)
 }
 
-// ObserveLive adapts the transfers' share to the first-token latency of a live
+// ObserveFirstToken adapts the transfers' share to the first-token latency of a live
 // request.
-func (l *Link) ObserveLive(latency time.Duration) {
+func (l *Link) ObserveFirstToken(latency time.Duration) {
 	l.adapt(func(now time.Time) { l.governor.Observe(latency, now) })
 }
 
--- a/internal/weights/transfer/manager.go
+++ b/internal/weights/transfer/manager.go
@@ -228,13 +228,13 @@
 	}
 }
 
-// ObserveLive records the first-token latency of a live request. Transfers slow
+// ObserveFirstToken records the first-token latency of a live request. Transfers slow
 // down when it rises.
-func (m *Manager) ObserveLive(firstToken time.Duration) { m.link.ObserveLive(firstToken) }
+func (m *Manager) ObserveFirstToken(firstToken time.Duration) { m.link.ObserveFirstToken(firstToken) }
 
-// SpendLive accounts for bytes of live requests on the VM's link, which
+// CountTraffic accounts for bytes of live requests on the VM's link, which
 // transfers then leave to them.
-func (m *Manager) SpendLive(up, down int) { m.link.SpendLive(up, down) }
+func (m *Manager) CountTraffic(up, down int) { m.link.CountTraffic(up, down) }
 
 // Link returns the VM's link, on which callers can account for live traffic so
 // that transfers leave capacity for it.
