--- a/internal/staging/digests.go
+++ b/internal/staging/digests.go
@@ -134,14 +134,14 @@
 func (s *Stager) importStaged(ctx context.Context, g goal, set *pieceSet) {
 	began := s.now()
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-	held, err := s.cfg.Engine.Held(callCtx, g.model)
+	staged, err := s.cfg.Engine.StagedPieces(callCtx, g.model)
 	cancel()
 	if err != nil {
 		s.log.Warn().Err(err).Msg("listing the staged pieces failed")
 		return
 	}
 	taken := 0
-	for _, piece := range held {
+	for _, piece := range staged {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		data, err := s.cfg.Engine.Get(callCtx, g.model, piece)
 		cancel()
@@ -152,6 +152,6 @@
 	if taken == len(set.digests) {
 		s.verification.record(g.key(), began)
 	}
-	s.log.Info().Uint64("version", g.version).Int("held", len(held)).Int("taken", taken).Msg("staged pieces taken in")
+	s.log.Info().Uint64("version", g.version).Int("held", len(staged)).Int("taken", taken).Msg("staged pieces taken in")
 	s.cfg.Metrics.pieces.WithLabelValues("staged").Add(float64(taken))
 }
--- a/internal/staging/engine.go
+++ b/internal/staging/engine.go
@@ -24,8 +24,8 @@
 
 // Errors returned by an Engine.
 var (
-	// ErrNotHeld reports that a piece is not staged at the engine.
-	ErrNotHeld = errors.New("piece is not staged")
+	// ErrNotStaged reports that a piece is not staged at the engine.
+	ErrNotStaged = errors.New("piece is not staged")
 	// ErrOrderRefused reports that the engine cannot execute an order in its current state.
 	ErrOrderRefused = errors.New("order refused")
 )
@@ -33,8 +33,8 @@
 // Engine is the client of the agent's backend server.
 type Engine interface {
 	Report(ctx context.Context) (Report, error)
-	// Held lists the staged pieces of a model, whatever their version.
-	Held(ctx context.Context, model string) ([]int, error)
+	// StagedPieces lists the staged pieces of a model, whatever their version.
+	StagedPieces(ctx context.Context, model string) ([]int, error)
 	Get(ctx context.Context, model string, piece int) ([]byte, error)
 	Put(ctx context.Context, model string, piece int, data []byte) error
 	// Load orders the engine to load the staged pieces as this version.
--- a/internal/staging/load.go
+++ b/internal/staging/load.go
@@ -59,7 +59,7 @@
 		if err == nil && sha256.Sum256(data) == digest {
 			continue
 		}
-		if err != nil && !errors.Is(err, ErrNotHeld) {
+		if err != nil && !errors.Is(err, ErrNotStaged) {
 			return err
 		}
 		callCtx, cancel = context.WithTimeout(ctx, callTimeout)
--- a/internal/staging/load_test.go
+++ b/internal/staging/load_test.go
@@ -24,12 +24,12 @@
 }
 
 func (e *stagingEngine) Report(context.Context) (Report, error) { return Report{}, nil }
-func (e *stagingEngine) Held(context.Context, string) ([]int, error) {
-	held := make([]int, len(e.staged))
-	for i := range held {
-		held[i] = i
+func (e *stagingEngine) StagedPieces(context.Context, string) ([]int, error) {
+	staged := make([]int, len(e.staged))
+	for i := range staged {
+		staged[i] = i
 	}
-	return held, nil
+	return staged, nil
 }
 
 func (e *stagingEngine) Load(_ context.Context, _ string, _ uint64) error {
--- a/internal/staging/serve.go
+++ b/internal/staging/serve.go
@@ -63,7 +63,7 @@
 	k := key{req.Model, req.Version}
 	sent := 0
 	if s.stager.sets.get(k) == nil && s.stager.engineHolds(stream.Context(), k) {
-		return s.heldByEngine(k, stream)
+		return s.streamStaged(k, stream)
 	}
 	for {
 		set := s.stager.sets.get(k)
@@ -89,15 +89,15 @@
 	}
 }
 
-// heldByEngine streams the pieces staged at the engine. They are not verified here; peers
+// streamStaged streams the pieces staged at the engine. They are not verified here; peers
 // verify them.
-func (s *server) heldByEngine(k key, stream rpc.DRPCPieces_HeldStream) error {
-	held, err := s.stager.cfg.Engine.Held(stream.Context(), k.model)
+func (s *server) streamStaged(k key, stream rpc.DRPCPieces_HeldStream) error {
+	staged, err := s.stager.cfg.Engine.StagedPieces(stream.Context(), k.model)
 	if err != nil {
 		return err
 	}
 	u := &rpc.HeldUpdate{}
-	for _, piece := range held {
+	for _, piece := range staged {
 		u.Added = append(u.Added, uint32(piece))
 	}
 	if err := stream.Send(u); err != nil {
