--- a/internal/configfeed/client.go
+++ b/internal/configfeed/client.go
@@ -22,11 +22,11 @@
 
 // Defaults of ClientConfig.
 const (
-	DefaultStartWait   = 5 * time.Second
-	DefaultPatience    = 6 * time.Second
-	DefaultDialTimeout = 2 * time.Second
-	defaultMinBackoff  = 250 * time.Millisecond
-	defaultMaxBackoff  = 10 * time.Second
+	DefaultStartWait    = 5 * time.Second
+	DefaultStaleTimeout = 6 * time.Second
+	DefaultDialTimeout  = 2 * time.Second
+	defaultMinBackoff   = 250 * time.Millisecond
+	defaultMaxBackoff   = 10 * time.Second
 )
 
 // checkInterval is how often a client checks its timeouts.
@@ -48,11 +48,11 @@
 	// configuration; after that it applies the highest revision that the sources
 	// offer.
 	StartWait time.Duration
-	// Patience is how long a source may be silent, behind or unconfirmed before
+	// StaleTimeout is how long a source may be silent, behind or unconfirmed before
 	// the client moves to the next one.
-	Patience    time.Duration
-	DialTimeout time.Duration
-	Logger      zerolog.Logger
+	StaleTimeout time.Duration
+	DialTimeout  time.Duration
+	Logger       zerolog.Logger
 	// Registerer registers the metrics; may be nil.
 	Registerer prometheus.Registerer
 }
@@ -61,8 +61,8 @@
 	if c.StartWait == 0 {
 		c.StartWait = DefaultStartWait
 	}
-	if c.Patience == 0 {
-		c.Patience = DefaultPatience
+	if c.StaleTimeout == 0 {
+		c.StaleTimeout = DefaultStaleTimeout
 	}
 	if c.DialTimeout == 0 {
 		c.DialTimeout = DefaultDialTimeout
@@ -107,7 +107,7 @@
 	}
 	c.chooser = newChooser(len(cfg.Upstreams), floor, timing{
 		startWait:    cfg.StartWait,
-		staleTimeout: cfg.Patience,
+		staleTimeout: cfg.StaleTimeout,
 		minBackoff:   defaultMinBackoff,
 		maxBackoff:   defaultMaxBackoff,
 	}, time.Now())
@@ -131,10 +131,10 @@
 func (c *Client) Ready() <-chan struct{} { return c.ready }
 
 // Unconfirmed reports whether the configuration in force was not confirmed with a
-// quorum within the last Patience.
+// quorum within the last StaleTimeout.
 func (c *Client) Unconfirmed() bool {
 	at := c.confirmedAt.Load()
-	return at == nil || time.Since(*at) > c.cfg.Patience
+	return at == nil || time.Since(*at) > c.cfg.StaleTimeout
 }
 
 // Confirmed is the opposite of Unconfirmed, for SourceConfig.Confirmed.
@@ -181,7 +181,7 @@
 // errStale means that the client left a source that is behind or unconfirmed.
 var errStale = errors.New("source is behind or unconfirmed")
 
-// errSilent means that a source sent nothing for longer than Patience.
+// errSilent means that a source sent nothing for longer than StaleTimeout.
 var errSilent = errors.New("source is silent")
 
 // follow subscribes to one source and handles its updates until the source is
@@ -212,7 +212,7 @@
 
 // handleUpdates handles the updates of one source until the source is left.
 func (c *Client) handleUpdates(ctx context.Context, in *inbox) error {
-	check := time.NewTicker(min(checkInterval, c.cfg.Patience/4))
+	check := time.NewTicker(min(checkInterval, c.cfg.StaleTimeout/4))
 	defer check.Stop()
 	lastReceived := time.Now()
 	for {
@@ -228,7 +228,7 @@
 			}
 		case <-check.C:
 			c.publishConfirmed()
-			if time.Since(lastReceived) > c.cfg.Patience {
+			if time.Since(lastReceived) > c.cfg.StaleTimeout {
 				return errSilent
 			}
 		case <-ctx.Done():
--- a/internal/configfeed/client_test.go
+++ b/internal/configfeed/client_test.go
@@ -186,10 +186,10 @@
 	var newest atomic.Uint64
 	var sources []*testSource
 	cfg := ClientConfig{
-		Name:      "f",
-		FloorPath: filepath.Join(t.TempDir(), "floor"),
-		StartWait: 200 * time.Millisecond,
-		Patience:  400 * time.Millisecond,
+		Name:         "f",
+		FloorPath:    filepath.Join(t.TempDir(), "floor"),
+		StartWait:    200 * time.Millisecond,
+		StaleTimeout: 400 * time.Millisecond,
 	}
 	if random.IntN(2) == 0 {
 		cfg.Prefixes = []string{"a/"}
@@ -245,7 +245,7 @@
 	stale.confirmed.Store(false)
 	stale.advance(20, true)
 	good.advance(500, true)
-	cfg := ClientConfig{Name: "f", Upstreams: []string{stale.addr, good.addr}, StartWait: waitLong, Patience: time.Second}
+	cfg := ClientConfig{Name: "f", Upstreams: []string{stale.addr, good.addr}, StartWait: waitLong, StaleTimeout: time.Second}
 	f := startClient(t, cfg)
 	<-f.client.Ready()
 	require.EqualValues(t, 500, f.client.Revision())
@@ -273,7 +273,7 @@
 		sources = append(sources, s)
 		cfg.Upstreams = append(cfg.Upstreams, s.addr)
 	}
-	cfg.Name, cfg.StartWait, cfg.Patience = "f", 100*time.Millisecond, time.Second
+	cfg.Name, cfg.StartWait, cfg.StaleTimeout = "f", 100*time.Millisecond, time.Second
 	f := startClient(t, cfg)
 	<-f.client.Ready()
 	require.EqualValues(t, 40, f.client.Revision())
@@ -302,7 +302,7 @@
 	newest.Store(3)
 	good := startSource(t, &newest)
 	good.advance(3, false)
-	f := startClient(t, ClientConfig{Name: "f", Upstreams: []string{frozen.Addr().String(), good.addr}, Patience: 300 * time.Millisecond})
+	f := startClient(t, ClientConfig{Name: "f", Upstreams: []string{frozen.Addr().String(), good.addr}, StaleTimeout: 300 * time.Millisecond})
 	<-f.client.Ready()
 	require.EqualValues(t, 3, f.client.Revision())
 }
--- a/internal/control/process_test.go
+++ b/internal/control/process_test.go
@@ -181,7 +181,7 @@
 	for i := range 4 {
 		name := fmt.Sprint("s", i)
 		feed, err := configfeed.NewClient(configfeed.ClientConfig{
-			Name: name, Upstreams: configfeed.RendezvousOrder(name, upstreams), Patience: 3 * time.Second})
+			Name: name, Upstreams: configfeed.RendezvousOrder(name, upstreams), StaleTimeout: 3 * time.Second})
 		require.NoError(t, err)
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -107,12 +107,12 @@
 func startFeed(t *testing.T, name string, upstreams []string, prefixes ...string) *configfeed.Client {
 	t.Helper()
 	c, err := configfeed.NewClient(configfeed.ClientConfig{
-		Name:      name,
-		Upstreams: upstreams,
-		Prefixes:  prefixes,
-		FloorPath: filepath.Join(t.TempDir(), "floor"),
-		StartWait: 300 * time.Millisecond,
-		Patience:  3 * time.Second,
+		Name:         name,
+		Upstreams:    upstreams,
+		Prefixes:     prefixes,
+		FloorPath:    filepath.Join(t.TempDir(), "floor"),
+		StartWait:    300 * time.Millisecond,
+		StaleTimeout: 3 * time.Second,
 	})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
