--- a/internal/weights/manifest/manifest.go
+++ b/internal/weights/manifest/manifest.go
@@ -34,9 +34,9 @@
 
 // Errors of parsing.
 var (
-	// ErrInvalid is wrapped by every refusal of Parse.
+	// ErrInvalid is wrapped by every error of Parse.
 	ErrInvalid = errors.New("invalid manifest")
-	// ErrDigest says that the manifest's bytes are not the ones configured.
+	// ErrDigest means that the manifest file isn't the one that the configuration names.
 	ErrDigest = errors.New("manifest digest differs from the configured one")
 )
 
@@ -87,7 +87,7 @@
 	Chunks    []Digest `json:"chunks"`
 }
 
-// Build reads weights to the end and returns their manifest.
+// Build reads weights to EOF and returns their manifest.
 func Build(model, version string, weights io.Reader, chunkSize int64) (*Manifest, error) {
 	if chunkSize <= 0 || chunkSize > MaxChunkSize {
 		return nil, fmt.Errorf("chunk size %d: must be in 1..%d", chunkSize, MaxChunkSize)
@@ -113,8 +113,8 @@
 	return m, m.check()
 }
 
-// Encode returns the manifest file. The same manifest always gives the same
-// bytes.
+// Encode returns the manifest file. Its bytes, and so its digest, depend on the
+// manifest alone.
 func (m *Manifest) Encode() ([]byte, error) {
 	data, err := json.Marshal(m)
 	if err != nil {
@@ -131,8 +131,8 @@
 	return Parse(data)
 }
 
-// Parse reads a manifest file strictly: unknown fields, trailing data and
-// sizes that do not add up are refused.
+// Parse parses a manifest file strictly: it refuses unknown fields, trailing data
+// and a number of chunks that doesn't match the size.
 func Parse(data []byte) (*Manifest, error) {
 	if len(data) > MaxEncodedSize {
 		return nil, fmt.Errorf("%w: %d bytes", ErrInvalid, len(data))
@@ -174,7 +174,7 @@
 // Len returns the number of chunks.
 func (m *Manifest) Len() int { return len(m.Chunks) }
 
-// Offset returns where chunk i begins in the weights file.
+// Offset returns the offset of chunk i in the weights file.
 func (m *Manifest) Offset(i int) int64 { return int64(i) * m.ChunkSize }
 
 // ChunkLen returns the length of chunk i in bytes.
--- a/internal/weights/manifest/manifest_test.go
+++ b/internal/weights/manifest/manifest_test.go
@@ -12,7 +12,7 @@
 	_ "lynxgate.dev/lynxgate/internal/testseed" // the same schedules every run
 )
 
-func TestManifestSurvivesEncoding(t *testing.T) {
+func TestEncodeParseRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := rapid.SliceOfN(rapid.Byte(), 1, 2000).Draw(t, "data")
 		chunkSize := rapid.Int64Range(1, 700).Draw(t, "chunk size")
