--- a/internal/weights/origin/client.go
+++ b/internal/weights/origin/client.go
@@ -1,8 +1,8 @@
 // Package origin reads manifests and chunks from the origin of weights or from
 // a weight store over HTTP with Range requests.
 //
-// A refusal by 429 or 503 is an outcome (*Limited) that carries how long to
-// wait, not a failure. The package keeps no state but the HTTP connections.
+// A response of 429 or 503 is returned as *Limited with the time to wait, so that
+// callers can tell it from a failure. The only state is idle HTTP connections.
 package origin
 
 import (
@@ -22,21 +22,21 @@
 )
 
 const (
-	// defaultRetryAfter is used when a refusal carries no usable Retry-After.
+	// defaultRetryAfter applies if a 429 or 503 has no valid Retry-After.
 	defaultRetryAfter = time.Second
 	maxRetryAfter     = time.Minute
-	// readPiece is how much of a body is paced at a time, in bytes.
-	readPiece = 16 << 10
+	// readBlockBytes is the most that is read of a body per call of pace, in bytes.
+	readBlockBytes = 16 << 10
 
 	dialTimeout     = 2 * time.Second
 	headerTimeout   = 10 * time.Second
 	idleConnections = 8
 )
 
-// ErrShort says that the body ended early or was too long.
-var ErrShort = errors.New("origin answered with another length than asked for")
+// ErrShort means that the body is shorter or longer than the requested range.
+var ErrShort = errors.New("length of the origin's body differs from the requested range")
 
-// Limited is the outcome of a request refused for its rate.
+// Limited means that the origin refused the request with 429 or 503.
 type Limited struct {
 	RetryAfter time.Duration
 }
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("rate limited, retry after %s", l.RetryAfter)
 }
 
-// StatusError is any other answer than the one asked for.
+// StatusError means a response with any other unexpected status.
 type StatusError struct {
 	Code int
 }
@@ -54,14 +54,15 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("origin answered %d", e.Code) }
 
-// Client asks origins and weight stores.
+// Client reads from origins and weight stores.
 type Client struct {
 	http *http.Client
-	// pace is called before each piece of a body is read.
+	// pace is called before each block of a body is read and may delay it.
 	pace func(ctx context.Context, bytes int) error
 }
 
-// New returns a client. httpClient may be nil; pace may be nil.
+// New returns a client. A nil httpClient means one with default timeouts, a nil
+// pace no pacing.
 func New(httpClient *http.Client, pace func(ctx context.Context, bytes int) error) *Client {
 	if httpClient == nil {
 		httpClient = newHTTPClient()
@@ -103,7 +104,7 @@
 }
 
 // Range reads len(p) bytes at offset of the weights file into p. It calls
-// progress, if not nil, after each piece with the number of bytes in it.
+// progress, if not nil, after each block with the number of bytes read.
 func (c *Client) Range(ctx context.Context, base, model, version string, p []byte, offset int64, progress func(int)) error {
 	span := fmt.Sprintf("bytes=%d-%d", offset, offset+int64(len(p))-1)
 	resp, err := c.get(ctx, address(base, model, version, "weights"), span)
@@ -119,7 +120,7 @@
 
 func (c *Client) readBody(ctx context.Context, body io.Reader, p []byte, progress func(int)) error {
 	for len(p) > 0 {
-		n := min(readPiece, len(p))
+		n := min(readBlockBytes, len(p))
 		if err := c.pace(ctx, n); err != nil {
 			return err
 		}
@@ -161,8 +162,8 @@
 	return strings.TrimSuffix(base, "/") + "/" + url.PathEscape(model) + "/" + url.PathEscape(version) + "/" + file
 }
 
-// parseRetryAfter reads the header's seconds form; the date form depends on
-// two clocks agreeing and falls back to the default.
+// parseRetryAfter parses the header's seconds form. The date form would depend on
+// synchronised clocks, so it gives the default.
 func parseRetryAfter(value string) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || math.IsNaN(seconds) || seconds < 0 {
--- a/internal/weights/origin/client_test.go
+++ b/internal/weights/origin/client_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestRange(t *testing.T) {
-	content := make([]byte, 3*readPiece)
+	content := make([]byte, 3*readBlockBytes)
 	for i := range content {
 		content[i] = byte(i * 7)
 	}
