--- a/internal/weights/store/store.go
+++ b/internal/weights/store/store.go
@@ -1,15 +1,15 @@
-// Package store keeps weights in a scratch folder that nobody else is trusted
-// to leave intact.
+// Package store keeps weights in a scratch folder whose files others may change
+// or delete at any time.
 //
 // State: one folder per model version, named by the digest of its manifest,
 // with manifest.json and either weights.partial (chunks at their offsets, any
 // of them missing) or weights (whole, synced). Chunks are content-addressed:
 // the same chunk in another version's file is copied, not fetched again. A
-// version's file gets its final name only after the digest of the whole and a
-// sync. Nothing found on the disk counts before its digest has been checked
-// in this process.
+// version's file is renamed to weights only after the digest of the whole has
+// been checked and the file has been synced. Data on the disk is not used before
+// this process has checked its digest.
 //
-// A full or a wiped folder is an error value (ErrFull, ErrWiped), after which
+// After ErrFull (no space in the folder) and ErrWiped (files changed or deleted)
 // the version can be opened again.
 package store
 
@@ -28,19 +28,19 @@
 	"lynxgate.dev/lynxgate/internal/weights/manifest"
 )
 
-// Outcomes of the store's operations.
+// Errors of the store's operations.
 var (
-	// ErrFull says that the folder's bound or the disk leaves no room.
+	// ErrFull means that the folder's size limit is reached or the disk is full.
 	ErrFull = errors.New("scratch folder full")
-	// ErrWiped says that files vanished or changed under the store; the
-	// version must be opened again.
+	// ErrWiped means that something else deleted or changed files of the store;
+	// the version must be opened again.
 	ErrWiped = errors.New("scratch folder changed from outside")
-	// ErrChunkDigest says that data is not the chunk it was given as.
+	// ErrChunkDigest means that data does not match the chunk's digest or length.
 	ErrChunkDigest = errors.New("chunk digest differs")
-	// ErrWholeDigest says that all chunks match the manifest but the whole
-	// does not: the manifest contradicts itself.
+	// ErrWholeDigest means that all chunks match the manifest but the whole file
+	// does not: the manifest is inconsistent.
 	ErrWholeDigest = errors.New("whole digest differs although all chunks match")
-	// ErrIncomplete says that chunks are missing.
+	// ErrIncomplete means that chunks are missing.
 	ErrIncomplete = errors.New("chunks missing")
 )
 
@@ -48,7 +48,7 @@
 	manifestName = "manifest.json"
 	partialName  = "weights.partial"
 	wholeName    = "weights"
-	// Every user of the VM may read what is staged: the engine may run as another one.
+	// Staged files are readable by every user, as the engine may run as another one.
 	dirMode  = 0o755
 	fileMode = 0o644
 )
@@ -59,9 +59,9 @@
 	maxBytes int64
 
 	mu sync.Mutex
-	// known are the versions whose folders exist, open or not.
+	// known has the versions whose folders exist, open or not.
 	known map[manifest.Digest]*entry
-	// chunks says where a chunk's content may be found.
+	// chunks has the places at which a chunk's content may be found.
 	chunks map[manifest.Digest][]location
 }
 
@@ -78,8 +78,8 @@
 }
 
 // Open opens the scratch folder, creating it if missing. maxBytes bounds the
-// sum of the sizes of the versions it holds; 0 means no bound. Folders with
-// no readable manifest are removed.
+// sum of the sizes of its versions; 0 means no limit. Folders without a
+// valid manifest are removed.
 func Open(dir string, maxBytes int64) (*Store, error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return nil, fmt.Errorf("open scratch folder: %w", err)
@@ -100,11 +100,12 @@
 	return s, nil
 }
 
-// load takes over a version folder of an earlier process.
+// load registers a version folder that an earlier process left, or removes it if
+// its manifest is not valid.
 func (s *Store) load(f fs.DirEntry) {
 	id, err := manifest.ParseDigest(f.Name())
 	if err != nil || !f.IsDir() {
-		return // not ours
+		return // not created by the store
 	}
 	data, err := os.ReadFile(filepath.Join(s.dir, f.Name(), manifestName))
 	if err != nil {
@@ -130,7 +131,7 @@
 	}
 }
 
-// remove forgets a version and deletes its folder.
+// remove unregisters a version and deletes its folder.
 func (s *Store) remove(e *entry) error {
 	delete(s.known, e.id)
 	for _, d := range e.manifest.Chunks {
@@ -149,7 +150,7 @@
 
 func (s *Store) path(id manifest.Digest) string { return filepath.Join(s.dir, id.String()) }
 
-// Manifest returns the verified manifest that an earlier process left.
+// Manifest returns the verified manifest of a version whose folder exists.
 func (s *Store) Manifest(id manifest.Digest) (*manifest.Manifest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +161,7 @@
 	return e.manifest, true
 }
 
-// UsedBytes returns the sum of the sizes of the versions held.
+// UsedBytes returns the sum of the sizes of all versions in the folder.
 func (s *Store) UsedBytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,9 +177,9 @@
 }
 
 // OpenVersion opens the version with the given manifest file, whose digest is
-// id: it checks every chunk on the disk, and copies chunks that another
-// version's file holds. When room is short, versions that are not open are
-// deleted first, those sharing no chunk with this one before the others.
+// id: it checks every chunk on the disk and copies missing chunks from other
+// versions' files. If the folder is full, it first deletes versions that are not
+// open, those that share the fewest chunks with this one first.
 func (s *Store) OpenVersion(id manifest.Digest, encoded []byte) (*Version, error) {
 	m, err := manifest.ParseVerified(encoded, id)
 	if err != nil {
@@ -198,7 +199,7 @@
 	return v, nil
 }
 
-// ReopenVersion is OpenVersion for a version whose manifest the store holds.
+// ReopenVersion is OpenVersion with the manifest file in the version's folder.
 func (s *Store) ReopenVersion(id manifest.Digest) (*Version, error) {
 	encoded, err := os.ReadFile(filepath.Join(s.path(id), manifestName))
 	if err != nil {
@@ -212,7 +213,7 @@
 	defer s.mu.Unlock()
 	e := s.known[id]
 	if e == nil {
-		if err := s.makeRoom(m); err != nil {
+		if err := s.evictFor(m); err != nil {
 			return nil, err
 		}
 		e = &entry{id: id, manifest: m}
@@ -230,8 +231,8 @@
 	return v, nil
 }
 
-// makeRoom deletes versions that are not open until m fits.
-func (s *Store) makeRoom(m *manifest.Manifest) error {
+// evictFor deletes versions that are not open until m fits.
+func (s *Store) evictFor(m *manifest.Manifest) error {
 	if s.maxBytes <= 0 {
 		return nil
 	}
@@ -249,7 +250,7 @@
 	})
 	for s.used()+m.Size > s.maxBytes {
 		if len(idle) == 0 {
-			return fmt.Errorf("%w: %d bytes held, %d more wanted, bound %d", ErrFull, s.used(), m.Size, s.maxBytes)
+			return fmt.Errorf("%w: %d bytes in use, %d more needed, limit %d", ErrFull, s.used(), m.Size, s.maxBytes)
 		}
 		if err := s.remove(idle[0]); err != nil {
 			return err
@@ -260,13 +261,13 @@
 }
 
 func sharedChunks(a, b *manifest.Manifest) int {
-	held := make(map[manifest.Digest]bool, len(a.Chunks))
+	digests := make(map[manifest.Digest]bool, len(a.Chunks))
 	for _, d := range a.Chunks {
-		held[d] = true
+		digests[d] = true
 	}
 	shared := 0
 	for _, d := range b.Chunks {
-		if held[d] {
+		if digests[d] {
 			shared++
 		}
 	}
@@ -274,23 +275,24 @@
 }
 
 // copyShared fills v's missing chunks from other versions' files. Content is
-// checked when it is written, so a damaged source only means a fetch.
+// checked when it is written, so a chunk with a damaged source stays missing and
+// is fetched.
 func (s *Store) copyShared(v *Version) {
 	for i, d := range v.manifest.Chunks {
 		if v.Has(i) {
 			continue
 		}
-		if data, ok := s.readElsewhere(v.id, d, v.manifest.ChunkLen(i)); ok {
+		if data, ok := s.readShared(v.id, d, v.manifest.ChunkLen(i)); ok {
 			_ = v.WriteChunk(i, data)
 		}
 	}
 }
 
-func (s *Store) readElsewhere(self, digest manifest.Digest, length int) ([]byte, bool) {
+func (s *Store) readShared(self, digest manifest.Digest, length int) ([]byte, bool) {
 	s.mu.Lock()
-	places := slices.Clone(s.chunks[digest])
+	locations := slices.Clone(s.chunks[digest])
 	s.mu.Unlock()
-	for _, l := range places {
+	for _, l := range locations {
 		if l.id == self {
 			continue
 		}
@@ -323,7 +325,7 @@
 	return nil, false
 }
 
-// Lookup finds an open version that holds the chunk.
+// Lookup finds an open version with this chunk and the chunk's index in it.
 func (s *Store) Lookup(digest manifest.Digest) (*Version, int, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -336,7 +338,7 @@
 	return nil, 0, false
 }
 
-// closed marks a version as no longer open.
+// closed records that a version is no longer open.
 func (s *Store) closed(v *Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -345,7 +347,7 @@
 	}
 }
 
-// forget drops a version whose folder is gone.
+// forget unregisters a closed version and deletes what is left of its folder.
 func (s *Store) forget(v *Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -354,7 +356,7 @@
 	}
 }
 
-// classify turns errors of the file system into the store's outcomes.
+// classify wraps file system errors in the store's errors.
 func classify(err error) error {
 	switch {
 	case err == nil:
--- a/internal/weights/store/store_test.go
+++ b/internal/weights/store/store_test.go
@@ -54,8 +54,8 @@
 	return files, v
 }
 
-// A process may end at any step: after a restart exactly the chunks written
-// are held, and the whole is staged if and only if all of them are.
+// After a crash at any step, exactly the chunks that were written are found, and the
+// version is staged if and only if none is missing.
 func TestRestartAtEveryStep(t *testing.T) {
 	s := newSample(t, "v1", content(1, 5*chunkSize+7))
 	dir := t.TempDir()
@@ -67,26 +67,26 @@
 			require.ErrorIs(t, v.Stage(), ErrIncomplete)
 			require.NoError(t, v.WriteChunk(written, s.chunk(written)))
 		}
-		v.file.Close() // no orderly end
+		v.file.Close() // a crash: the version is not closed
 	}
 	got, err := os.ReadFile(filepath.Join(dir, s.id.String(), wholeName))
 	require.NoError(t, err)
 	require.Equal(t, s.data, got)
 }
 
-func TestOtherBytesAreRefused(t *testing.T) {
+func TestWriteChunkRefusesWrongBytes(t *testing.T) {
 	s := newSample(t, "v1", content(1, 3*chunkSize))
 	_, v := open(t, t.TempDir(), 0, s)
-	spoiled := bytes.Clone(s.chunk(1))
-	spoiled[3] ^= 1
-	require.ErrorIs(t, v.WriteChunk(1, spoiled), ErrChunkDigest)
+	corrupted := bytes.Clone(s.chunk(1))
+	corrupted[3] ^= 1
+	require.ErrorIs(t, v.WriteChunk(1, corrupted), ErrChunkDigest)
 	require.ErrorIs(t, v.WriteChunk(1, s.chunk(0)), ErrChunkDigest)
 	require.ErrorIs(t, v.WriteChunk(1, s.chunk(1)[1:]), ErrChunkDigest)
 	require.False(t, v.Has(1))
 	require.Error(t, v.ReadChunkAt(1, make([]byte, 1), 0))
 }
 
-func TestManifestThatContradictsItselfIsNeverStaged(t *testing.T) {
+func TestInconsistentManifestIsNotStaged(t *testing.T) {
 	data := content(1, 3*chunkSize)
 	m, err := manifest.Build("m", "v1", bytes.NewReader(data), chunkSize)
 	require.NoError(t, err)
@@ -102,7 +102,7 @@
 	require.NoFileExists(t, v.Path())
 }
 
-func TestDamageAfterStagingIsFoundOnRestart(t *testing.T) {
+func TestReopenFindsDamagedChunk(t *testing.T) {
 	s := newSample(t, "v1", content(1, 4*chunkSize))
 	dir := t.TempDir()
 	_, v := open(t, dir, 0, s)
@@ -139,7 +139,7 @@
 	require.Equal(t, 3, again.Count())
 }
 
-func TestBoundOfTheFolder(t *testing.T) {
+func TestFolderSizeLimit(t *testing.T) {
 	a, b := newSample(t, "a", content(1, 4*chunkSize)), newSample(t, "b", content(2, 4*chunkSize))
 	shared := newSample(t, "c", append(content(1, 2*chunkSize), content(3, 2*chunkSize)...))
 	files, va := open(t, t.TempDir(), 8*chunkSize, a)
@@ -154,7 +154,7 @@
 	vb.Close()
 	vc, err := files.OpenVersion(shared.id, shared.encoded)
 	require.NoError(t, err)
-	require.Equal(t, 2, vc.Count(), "the version that shares chunks must go last")
+	require.Equal(t, 2, vc.Count(), "the version that shares chunks must be deleted last")
 	_, kept := files.Manifest(a.id)
 	require.True(t, kept)
 	require.LessOrEqual(t, files.UsedBytes(), int64(8*chunkSize))
@@ -176,8 +176,8 @@
 	require.Zero(t, v.Count())
 }
 
-// Whatever happens to the folder, a file at the staged path of an open staged
-// version has exactly the content of the manifest.
+// A file at the path of a staged version has exactly the content of the manifest,
+// whatever writes, damage and restarts came before.
 func TestStagedOnlyWhenExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "store")
@@ -198,7 +198,7 @@
 			"damage": func(t *rapid.T) {
 				at := rapid.Int64Range(0, int64(len(s.data)-1)).Draw(t, "at")
 				if v.Staged() {
-					return // an engine may be reading: found at the next open
+					return // an engine may read the file; the next open finds such damage
 				}
 				_, err := v.file.WriteAt([]byte{s.data[at] ^ 1}, at)
 				require.NoError(t, err)
--- a/internal/weights/store/version.go
+++ b/internal/weights/store/version.go
@@ -14,37 +14,36 @@
 	"lynxgate.dev/lynxgate/internal/weights/manifest"
 )
 
-// hashBlock is how much is hashed at a time, in bytes: the hash's library is
-// several times as fast on large blocks (0.7 GB/s at 32 KiB, 2.7 GB/s at 1 MiB).
+// hashBlock is how much is hashed per call, in bytes: the hash library is several
+// times as fast on large blocks (0.7 GB/s at 32 KiB, 2.7 GB/s at 1 MiB).
 const hashBlock = 1 << 20
 
-// Version is one open model version. Its methods may be called from several
-// goroutines.
+// Version is one open model version. Its methods are safe for concurrent use.
 type Version struct {
 	store    *Store
 	id       manifest.Digest
 	manifest *manifest.Manifest
 	dir      string
 
-	mu     sync.RWMutex
-	file   *os.File
-	held   []bool
-	count  int
-	staged bool
-	closed bool
+	mu       sync.RWMutex
+	file     *os.File
+	verified []bool
+	count    int
+	staged   bool
+	closed   bool
 }
 
 // openFiles prepares the version's folder and opens its weights file.
 func openFiles(s *Store, id manifest.Digest, m *manifest.Manifest, encoded []byte) (*Version, error) {
-	v := &Version{store: s, id: id, manifest: m, dir: s.path(id), held: make([]bool, m.Len())}
+	v := &Version{store: s, id: id, manifest: m, dir: s.path(id), verified: make([]bool, m.Len())}
 	if err := os.MkdirAll(v.dir, dirMode); err != nil {
 		return nil, err
 	}
 	if err := durable.ReplaceFile(filepath.Join(v.dir, manifestName), encoded, fileMode); err != nil {
 		return nil, err
 	}
-	// A whole file of an earlier process is worth no more than its chunks
-	// until it has been checked, so it loses its name meanwhile.
+	// The whole file of an earlier process is treated as partial until this process
+	// has checked it.
 	err := os.Rename(v.path(wholeName), v.path(partialName))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
@@ -68,21 +67,21 @@
 // Manifest returns the version's manifest.
 func (v *Version) Manifest() *manifest.Manifest { return v.manifest }
 
-// Path returns where the whole file stands once it is staged.
+// Path returns the path of the whole file once it is staged.
 func (v *Version) Path() string { return v.path(wholeName) }
 
-// Staged says whether the whole file is in place.
+// Staged reports whether the whole file is in place.
 func (v *Version) Staged() bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.staged
 }
 
-// Has says whether chunk i has been verified.
+// Has reports whether chunk i has been verified.
 func (v *Version) Has(i int) bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return !v.closed && v.held[i]
+	return !v.closed && v.verified[i]
 }
 
 // Held returns the indexes of the verified chunks.
@@ -90,7 +89,7 @@
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	held := make([]int, 0, v.count)
-	for i, h := range v.held {
+	for i, h := range v.verified {
 		if h {
 			held = append(held, i)
 		}
@@ -105,7 +104,7 @@
 	return v.count
 }
 
-// verify checks every chunk that the file holds, and stages a whole file.
+// verify checks every chunk on the disk and stages the file if none is missing.
 func (v *Version) verify() error {
 	buf := make([]byte, v.manifest.ChunkSize)
 	for i := range v.manifest.Chunks {
@@ -126,20 +125,20 @@
 func (v *Version) mark(i int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.held[i] {
-		v.held[i] = true
+	if !v.verified[i] {
+		v.verified[i] = true
 		v.count++
 	}
 }
 
-// WriteChunk verifies data and keeps it as chunk i. ErrChunkDigest means that
-// data was refused and nothing changed.
+// WriteChunk verifies data and writes it as chunk i. With ErrChunkDigest the data
+// was refused and nothing changed.
 func (v *Version) WriteChunk(i int, data []byte) error {
 	if len(data) != v.manifest.ChunkLen(i) || manifest.Sum(data) != v.manifest.Chunks[i] {
 		return fmt.Errorf("chunk %d: %w", i, ErrChunkDigest)
 	}
 	v.mu.RLock()
-	file, closed, held := v.file, v.closed, v.held[i]
+	file, closed, held := v.file, v.closed, v.verified[i]
 	v.mu.RUnlock()
 	if closed {
 		return os.ErrClosed
@@ -157,7 +156,7 @@
 // ReadChunkAt reads part of chunk i, beginning at offset within the chunk.
 func (v *Version) ReadChunkAt(i int, p []byte, offset int) error {
 	v.mu.RLock()
-	file, ok := v.file, !v.closed && v.held[i]
+	file, ok := v.file, !v.closed && v.verified[i]
 	v.mu.RUnlock()
 	if !ok {
 		return fmt.Errorf("chunk %d: %w", i, ErrIncomplete)
@@ -168,8 +167,8 @@
 	return nil
 }
 
-// Stage checks the digest of the whole, syncs the file and gives it its final
-// name. It is safe to call again after any failure.
+// Stage checks the digest of the whole, syncs the file and renames it to its final
+// name. It may be called again after any failure.
 func (v *Version) Stage() error {
 	if v.Staged() {
 		return nil
@@ -183,7 +182,7 @@
 	if err := v.file.Sync(); err != nil {
 		return classify(fmt.Errorf("sync weights: %w", err))
 	}
-	if !v.same(partialName) {
+	if !v.sameFile(partialName) {
 		return ErrWiped
 	}
 	if err := os.Rename(v.path(partialName), v.path(wholeName)); err != nil {
@@ -212,8 +211,8 @@
 	return v.explainMismatch()
 }
 
-// explainMismatch tells a damaged file, whose bad chunks are given up, from a
-// manifest that contradicts itself.
+// explainMismatch distinguishes a damaged file, whose bad chunks it marks as
+// missing, from an inconsistent manifest.
 func (v *Version) explainMismatch() error {
 	buf := make([]byte, v.manifest.ChunkSize)
 	damaged := 0
@@ -225,7 +224,7 @@
 		}
 		damaged++
 		v.mu.Lock()
-		v.held[i] = false
+		v.verified[i] = false
 		v.count--
 		v.mu.Unlock()
 	}
@@ -235,16 +234,16 @@
 	return ErrWholeDigest
 }
 
-// Intact says whether the file is still the one this store opened and at its
-// place. It does not read the content.
+// Intact reports whether the file that this store opened is still at its path and
+// has its full size. It does not read the content.
 func (v *Version) Intact() bool {
 	if v.Staged() {
-		return v.same(wholeName)
+		return v.sameFile(wholeName)
 	}
-	return v.same(partialName)
+	return v.sameFile(partialName)
 }
 
-func (v *Version) same(name string) bool {
+func (v *Version) sameFile(name string) bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	if v.closed {
@@ -254,24 +253,24 @@
 	if err != nil {
 		return false
 	}
-	there, err := os.Stat(v.path(name))
-	return err == nil && os.SameFile(open, there) && there.Size() == v.manifest.Size
+	onDisk, err := os.Stat(v.path(name))
+	return err == nil && os.SameFile(open, onDisk) && onDisk.Size() == v.manifest.Size
 }
 
-// Close closes the version; its files stay for a later open.
+// Close closes the version and keeps its files.
 func (v *Version) Close() {
 	v.mu.Lock()
-	already := v.closed
+	wasClosed := v.closed
 	v.closed = true
 	v.mu.Unlock()
-	if already {
+	if wasClosed {
 		return
 	}
 	v.file.Close()
 	v.store.closed(v)
 }
 
-// Forget closes the version and deletes what is left of it.
+// Forget closes the version and deletes what is left of its folder.
 func (v *Version) Forget() {
 	v.Close()
 	v.store.forget(v)
