--- a/internal/rpcconn/redial_test.go
+++ b/internal/rpcconn/redial_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestRedialTimeoutGrowsToItsBound(t *testing.T) {
+func TestRedialTimeoutDoublesToMaximum(t *testing.T) {
 	for failed, want := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, time.Second, time.Second} {
 		assert.Equal(t, want, RedialTimeout(failed))
 	}
-	assert.Equal(t, lastRedial, RedialTimeout(1<<20))
+	assert.Equal(t, maxRedialTimeout, RedialTimeout(1<<20))
 }
--- a/internal/rpcconn/rpcconn.go
+++ b/internal/rpcconn/rpcconn.go
@@ -1,5 +1,5 @@
-// Package rpcconn holds the few lines of drpc plumbing that every process
-// needs: a server on a listener and a pool of client connections by address.
+// Package rpcconn sets up drpc for the daemons: a server on a listener and a
+// pool of client connections by address.
 // A drpc connection carries one call at a time, so concurrent calls to one
 // address take one pooled connection each. All connections made here count
 // their bytes and messages by service; see Collectors.
@@ -37,21 +37,20 @@
 )
 
 const (
-	// firstRedial and lastRedial bound a try to reach a peer again, see RedialTimeout.
-	firstRedial = 250 * time.Millisecond
-	lastRedial  = 1 * time.Second
+	// minRedialTimeout and maxRedialTimeout are the shortest and longest RedialTimeout.
+	minRedialTimeout = 250 * time.Millisecond
+	maxRedialTimeout = 1 * time.Second
 )
 
-// RedialTimeout returns how long the next try to reach a peer may take after so many
-// that failed in a row: 250 ms, doubled up to 1 s. A peer that has no power yet answers
-// nothing, and TCP repeats a lost opening packet after 1 s only, so that a longer first try
-// finds a peer that is back too late.
-// Links on which packets queue for longer than the first try get the longer ones.
+// RedialTimeout returns the dial timeout after this many failed dials in a row: 250 ms,
+// doubled up to 1 s. A peer without power does not reply and TCP resends a lost SYN only
+// after 1 s, so a longer first timeout would delay the connection to a peer that is up
+// again. The longer timeouts are for links that queue packets for more than 250 ms.
 func RedialTimeout(failed int) time.Duration {
 	if failed > 2 {
-		return lastRedial
+		return maxRedialTimeout
 	}
-	return min(firstRedial<<failed, lastRedial)
+	return min(minRedialTimeout<<failed, maxRedialTimeout)
 }
 
 // Pool keeps idle client connections for reuse. The zero value is not usable.
@@ -80,7 +79,7 @@
 // Close closes all idle connections.
 func (p *Pool) Close() error { return p.pool.Close() }
 
-// DialError says that a connection could not be made: nothing was sent.
+// DialError means that no connection could be made, so nothing was sent.
 type DialError struct {
 	Addr string
 	Err  error
@@ -98,7 +97,7 @@
 	transport *countedConn
 }
 
-// NewConn makes a client connection of an open TCP connection.
+// NewConn returns a client connection over an open TCP connection.
 func NewConn(tcp net.Conn) *Conn {
 	transport := newCountedConn(tcp, sideClient)
 	return &Conn{
@@ -109,7 +108,7 @@
 
 // Invoke implements drpc.Conn.
 func (c *Conn) Invoke(ctx context.Context, method string, enc drpc.Encoding, in, out drpc.Message) error {
-	m := c.transport.called(method)
+	m := c.transport.setService(method)
 	m.messagesOut.Inc()
 	err := c.Conn.Invoke(ctx, method, enc, in, out)
 	if err == nil {
@@ -120,7 +119,7 @@
 
 // NewStream implements drpc.Conn.
 func (c *Conn) NewStream(ctx context.Context, method string, enc drpc.Encoding) (drpc.Stream, error) {
-	m := c.transport.called(method)
+	m := c.transport.setService(method)
 	stream, err := c.Conn.NewStream(ctx, method, enc)
 	if err != nil {
 		return nil, err
@@ -128,7 +127,7 @@
 	return &countedStream{Stream: stream, meter: m}, nil
 }
 
-// Dial opens a connection of its own to addr ("ip:port").
+// Dial opens a connection to addr ("ip:port") outside of any pool.
 func Dial(ctx context.Context, addr string) (*Conn, error) {
 	conn, err := DialTCP(ctx, addr, DialTimeout)
 	if err != nil {
@@ -148,7 +147,7 @@
 	return conn, nil
 }
 
-// Serve answers calls registered on mux until ctx is done.
+// Serve serves the calls registered on mux until ctx is done.
 func Serve(ctx context.Context, lis net.Listener, mux *drpcmux.Mux) error {
 	server := drpcserver.NewWithOptions(countedHandler{mux}, drpcserver.Options{Manager: managerOptions()})
 	return server.Serve(ctx, countedListener{lis})
--- a/internal/rpcconn/socket_test.go
+++ b/internal/rpcconn/socket_test.go
@@ -18,8 +18,8 @@
 	return bound
 }
 
-// Both ends notice a connection that went silent.
-func TestUnacknowledgedBytesEndAConnection(t *testing.T) {
+// Without the timeout at both ends, a connection whose peer no longer replies stays open.
+func TestUnackedTimeoutIsSetAtBothEnds(t *testing.T) {
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	lis := countedListener{plain}
--- a/internal/rpcconn/traffic.go
+++ b/internal/rpcconn/traffic.go
@@ -21,8 +21,8 @@
 	directionOut = "out"
 )
 
-// The traffic of the process's own protocols. Bytes are those written to and
-// read from connections, drpc framing included, TCP and IP headers not.
+// Metrics of the traffic between daemons. Bytes are those written to and read
+// from connections: with drpc framing, without TCP and IP headers.
 var (
 	bytesTotal = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "lynxgate_rpc_bytes_total",
@@ -54,10 +54,10 @@
 	messagesIn, messagesOut prometheus.Counter
 }
 
-// meterKey names a meter.
+// meterKey identifies a meter.
 type meterKey struct{ service, side string }
 
-// meters holds a *meter by meterKey.
+// meters maps a meterKey to its *meter.
 var meters sync.Map
 
 func meterOf(service, side string) *meter {
@@ -85,9 +85,9 @@
 	net.Conn
 	side  string
 	meter atomic.Pointer[meter]
-	// early counts bytes read before the service was known.
-	early  atomic.Int64
-	closed atomic.Bool
+	// unattributed counts bytes read before the service was known.
+	unattributed atomic.Int64
+	closed       atomic.Bool
 }
 
 func newCountedConn(conn net.Conn, side string) *countedConn {
@@ -95,11 +95,11 @@
 	return &countedConn{Conn: conn, side: side}
 }
 
-// called notes the service that the connection is used for from now on.
-func (c *countedConn) called(method string) *meter {
+// setService sets the service under which bytes are counted from now on.
+func (c *countedConn) setService(method string) *meter {
 	m := meterOf(serviceOf(method), c.side)
 	c.meter.Store(m)
-	m.bytesIn.Add(float64(c.early.Swap(0)))
+	m.bytesIn.Add(float64(c.unattributed.Swap(0)))
 	return m
 }
 
@@ -109,7 +109,7 @@
 	if m := c.meter.Load(); m != nil {
 		m.bytesIn.Add(float64(n))
 	} else {
-		c.early.Add(int64(n))
+		c.unattributed.Add(int64(n))
 	}
 	return n, err
 }
@@ -156,7 +156,7 @@
 func serverMeter(ctx context.Context, method string) *meter {
 	transport, _ := drpcctx.Transport(ctx)
 	if conn, ok := transport.(*countedConn); ok {
-		return conn.called(method)
+		return conn.setService(method)
 	}
 	return meterOf(serviceOf(method), sideServer)
 }
