--- a/internal/frames/assembler.go
+++ b/internal/frames/assembler.go
@@ -10,26 +10,26 @@
 	"lynxgate.dev/lynxgate/internal/rpc"
 )
 
-// Config bounds what an Assembler holds back for frames still missing.
+// Config bounds the frames that an Assembler buffers until earlier ones arrive.
 type Config struct {
-	// Window is how far ahead of the next expected frame a frame may be.
+	// Window is how many numbers ahead of the next expected frame a frame may be.
 	Window uint64
-	// WindowBytes bounds the body bytes held back.
+	// WindowBytes bounds the buffered body bytes.
 	WindowBytes int
 }
 
-// DefaultConfig allows for some frames overtaking each other. The transport
-// in use keeps order, so a larger gap means that frames were lost.
+// DefaultConfig allows for some reordering. The transport in use preserves
+// order, so a larger gap means that frames were lost.
 var DefaultConfig = Config{Window: 64, WindowBytes: 1 << 20}
 
-// Ignored says why a frame was dropped without harm.
+// Ignored is the reason why a frame was dropped without an effect on the answer.
 type Ignored uint8
 
 // The reasons for dropping a frame.
 const (
 	// Accepted means the frame was not dropped.
 	Accepted Ignored = iota
-	// Duplicate means the frame's number has been seen.
+	// Duplicate means a frame with this number was received before.
 	Duplicate
 	// Late means the answer had already ended.
 	Late
@@ -37,67 +37,67 @@
 	OtherRequest
 )
 
-// Counts of frames that were not simply the next one.
+// Counts are the numbers of frames that were dropped or arrived out of order.
 type Counts struct {
 	Duplicate, Late, OtherRequest, Reordered uint64
 }
 
-// Result is what one step allows the entry to do.
+// Result is what the entry may pass on to the caller after one step.
 type Result struct {
 	// Head is set once, when the answer's status and headers are known.
 	Head *rpc.ResponseFrame
-	// Data holds the next pieces of the body in order. The slice, not the
-	// pieces, is reused by the next step.
+	// Data is the next parts of the body in order. The next step reuses the
+	// slice, but not the parts.
 	Data [][]byte
-	// Done means that the answer has ended as Outcome says. Data of the same
-	// result comes before the end.
+	// Done means that the answer has ended with Outcome. Data of the same
+	// result belongs before the end.
 	Done    bool
 	Outcome outcome.Outcome
 	// Ignored is not Accepted when the frame was dropped.
 	Ignored Ignored
 }
 
-// Assembler rebuilds one answer from its frames.
+// Assembler reassembles one answer from its frames.
 type Assembler struct {
-	cfg       Config
-	requestID string
-	next      uint64
-	headSeen  bool
-	length    uint64
-	hasher    *blake3.Hasher
-	held      map[uint64]*rpc.ResponseFrame
-	heldBytes int
-	data      [][]byte
-	done      bool
-	outcome   outcome.Outcome
-	counts    Counts
+	cfg           Config
+	requestID     string
+	next          uint64
+	headSeen      bool
+	length        uint64
+	hasher        *blake3.Hasher
+	buffered      map[uint64]*rpc.ResponseFrame
+	bufferedBytes int
+	data          [][]byte
+	done          bool
+	outcome       outcome.Outcome
+	counts        Counts
 }
 
 // NewAssembler returns an Assembler for the answer to one request.
 func NewAssembler(cfg Config, requestID string) *Assembler {
-	return &Assembler{cfg: cfg, requestID: requestID, hasher: takeHasher()}
+	return &Assembler{cfg: cfg, requestID: requestID, hasher: getHasher()}
 }
 
-// Step takes one frame as it arrives. The Assembler keeps a frame that came
-// early; the caller must not change a frame after passing it in.
+// Step processes one frame as it arrives. The Assembler keeps frames that arrive
+// early, so the caller must not change a frame after passing it in.
 func (a *Assembler) Step(f *rpc.ResponseFrame) Result {
 	if why := a.ignore(f); why != Accepted {
 		return Result{Ignored: why}
 	}
 	if f.Seq > a.next {
-		return a.hold(f)
+		return a.buffer(f)
 	}
 	a.data = a.data[:0]
 	var res Result
-	a.take(f, &res)
-	a.takeHeld(&res)
+	a.process(f, &res)
+	a.processBuffered(&res)
 	res.Data = a.data
 	return res
 }
 
-// Cut ends the answer because no further frame can come: the stream closed,
-// the deadline passed, or the caller left. It changes nothing when the answer
-// has ended before. The request may have run.
+// Cut ends the answer when no further frame can arrive: the stream closed, the
+// deadline passed, or the caller disconnected. The outcome is that the request may
+// have run. Cut has no effect if the answer has ended before.
 func (a *Assembler) Cut(reason outcome.Reason, detail string) Result {
 	if !a.done {
 		a.finish(outcome.May(reason, detail))
@@ -105,17 +105,17 @@
 	return Result{Done: true, Outcome: a.outcome}
 }
 
-// Done reports whether the answer has ended, and how.
+// Done returns the outcome and whether the answer has ended.
 func (a *Assembler) Done() (outcome.Outcome, bool) { return a.outcome, a.done }
 
 // Delivered reports whether a head has been delivered, so that an error
 // answer can no longer be sent in its place.
 func (a *Assembler) Delivered() bool { return a.headSeen }
 
-// Length returns the bytes of body delivered so far.
+// Length returns the number of body bytes delivered so far.
 func (a *Assembler) Length() uint64 { return a.length }
 
-// Counts returns how many frames were dropped or came out of order.
+// Counts returns how many frames were dropped or arrived out of order.
 func (a *Assembler) Counts() Counts { return a.counts }
 
 func (a *Assembler) ignore(f *rpc.ResponseFrame) Ignored {
@@ -127,50 +127,50 @@
 		a.counts.Late++
 		return Late
 	}
-	if _, held := a.held[f.Seq]; held || f.Seq < a.next {
+	if _, held := a.buffered[f.Seq]; held || f.Seq < a.next {
 		a.counts.Duplicate++
 		return Duplicate
 	}
 	return Accepted
 }
 
-// hold keeps a frame that came early, within the window.
-func (a *Assembler) hold(f *rpc.ResponseFrame) Result {
+// buffer keeps a frame that arrived early, or ends the answer if it exceeds the window.
+func (a *Assembler) buffer(f *rpc.ResponseFrame) Result {
 	a.counts.Reordered++
 	tooFar := f.Seq-a.next > a.cfg.Window
-	if tooFar || a.heldBytes+len(f.Data) > a.cfg.WindowBytes {
+	if tooFar || a.bufferedBytes+len(f.Data) > a.cfg.WindowBytes {
 		return a.Cut(outcome.AnswerCut, fmt.Sprintf("frame %d is missing", a.next))
 	}
-	if a.held == nil {
-		a.held = make(map[uint64]*rpc.ResponseFrame)
+	if a.buffered == nil {
+		a.buffered = make(map[uint64]*rpc.ResponseFrame)
 	}
-	a.held[f.Seq] = f
-	a.heldBytes += len(f.Data)
+	a.buffered[f.Seq] = f
+	a.bufferedBytes += len(f.Data)
 	return Result{}
 }
 
-// takeHeld takes the held frames that are next in order.
-func (a *Assembler) takeHeld(res *Result) {
-	for !a.done && len(a.held) > 0 {
-		f, ok := a.held[a.next]
+// processBuffered processes the buffered frames that are next in order.
+func (a *Assembler) processBuffered(res *Result) {
+	for !a.done && len(a.buffered) > 0 {
+		f, ok := a.buffered[a.next]
 		if !ok {
 			return
 		}
-		delete(a.held, a.next)
-		a.heldBytes -= len(f.Data)
-		a.take(f, res)
+		delete(a.buffered, a.next)
+		a.bufferedBytes -= len(f.Data)
+		a.process(f, res)
 	}
 }
 
-// take handles the frame that is next in order.
-func (a *Assembler) take(f *rpc.ResponseFrame, res *Result) {
+// process handles the frame that is next in order.
+func (a *Assembler) process(f *rpc.ResponseFrame, res *Result) {
 	first := a.next == 0
 	a.next++
 	switch f.Kind {
 	case rpc.FrameKind_FRAME_HEAD:
-		a.takeHead(f, first, res)
+		a.processHead(f, first, res)
 	case rpc.FrameKind_FRAME_DATA:
-		a.takeData(f)
+		a.processData(f)
 	case rpc.FrameKind_FRAME_END:
 		a.finish(a.checkEnd(f))
 	case rpc.FrameKind_FRAME_NOT_RUN:
@@ -186,7 +186,7 @@
 	}
 }
 
-func (a *Assembler) takeHead(f *rpc.ResponseFrame, first bool, res *Result) {
+func (a *Assembler) processHead(f *rpc.ResponseFrame, first bool, res *Result) {
 	if !first {
 		a.finish(corrupt("head in frame %d", f.Seq))
 		return
@@ -195,7 +195,7 @@
 	res.Head = f
 }
 
-func (a *Assembler) takeData(f *rpc.ResponseFrame) {
+func (a *Assembler) processData(f *rpc.ResponseFrame) {
 	if !a.headSeen {
 		a.finish(corrupt("data before the head"))
 		return
@@ -221,9 +221,9 @@
 	return outcome.Done()
 }
 
-// checkNotRun believes "not run" only as the one frame of the whole answer.
+// checkNotRun accepts "not run" only as the only frame of the answer.
 func (a *Assembler) checkNotRun(f *rpc.ResponseFrame, first bool) outcome.Outcome {
-	if !first || len(a.held) > 0 {
+	if !first || len(a.buffered) > 0 {
 		return corrupt("not run beside frames of an answer")
 	}
 	return failure(outcome.NotRun, f)
@@ -232,8 +232,8 @@
 func (a *Assembler) finish(o outcome.Outcome) {
 	a.done = true
 	a.outcome = o
-	a.held = nil
-	a.heldBytes = 0
+	a.buffered = nil
+	a.bufferedBytes = 0
 	hashers.Put(a.hasher)
 	a.hasher = nil
 }
--- a/internal/frames/frames_test.go
+++ b/internal/frames/frames_test.go
@@ -14,7 +14,7 @@
 	_ "lynxgate.dev/lynxgate/internal/testseed" // the same schedules every run
 )
 
-// answer makes the frames of a whole answer, and its body.
+// answer returns the frames of a complete answer and its body.
 func answer(id string, pieces ...string) ([]*rpc.ResponseFrame, string) {
 	w := NewWriter(id)
 	out := []*rpc.ResponseFrame{w.Head(200, nil)}
@@ -26,7 +26,8 @@
 	return append(out, w.End()), body
 }
 
-// run feeds frames and then a cut. It returns the body and the outcome.
+// run passes frames to an Assembler and then cuts the answer. It returns the body and
+// the outcome.
 func run(t require.TestingT, a *Assembler, in []*rpc.ResponseFrame) (string, outcome.Outcome) {
 	var body bytes.Buffer
 	heads, ends := 0, 0
@@ -123,10 +124,10 @@
 		require.False(t, a.Step(frame).Done)
 	}
 	require.True(t, a.Step(f[5]).Done, "too many bytes")
-	require.Nil(t, a.held)
+	require.Nil(t, a.buffered)
 }
 
-func TestWriterPanicsOnBrokenUse(t *testing.T) {
+func TestWriterPanicsOnMisuse(t *testing.T) {
 	for name, use := range map[string]func(*Writer){
 		"data first":  func(w *Writer) { w.Data(nil) },
 		"end first":   func(w *Writer) { w.End() },
@@ -138,9 +139,9 @@
 	}
 }
 
-// TestNeverAWrongCleanEnd feeds two answers' frames lost, doubled, shuffled
-// and changed: an answer that ends as completed is whole and unmixed.
-func TestNeverAWrongCleanEnd(t *testing.T) {
+// TestCompletedOnlyWhenWhole loses, duplicates, reorders and changes frames of two
+// answers: an answer that ends as completed has exactly the body of its request.
+func TestCompletedOnlyWhenWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pieces := rapid.SliceOfN(rapid.StringN(0, 3, 3), 0, 8).Draw(t, "pieces")
 		mine, whole := answer("r", pieces...)
@@ -164,10 +165,10 @@
 		}
 		body, o := run(t, NewAssembler(DefaultConfig, "r"), in)
 		if o.Kind == outcome.Completed && body != whole {
-			t.Fatalf("clean end of %q, want %q", body, whole)
+			t.Fatalf("completed with body %q, want %q", body, whole)
 		}
 		if !changed && len(in) >= len(mine) && o.Kind != outcome.Completed && containsAll(in, mine) {
-			t.Fatalf("all frames came but the end is %s", o)
+			t.Fatalf("all frames arrived but the outcome is %s", o)
 		}
 	})
 }
@@ -185,7 +186,7 @@
 	return true
 }
 
-// FuzzAssembler feeds frames decoded from raw bytes, one byte of length each.
+// FuzzAssembler passes frames decoded from raw bytes, each after one byte with its length.
 func FuzzAssembler(f *testing.F) {
 	encode := func(frames []*rpc.ResponseFrame) []byte {
 		var out []byte
--- a/internal/frames/writer.go
+++ b/internal/frames/writer.go
@@ -1,8 +1,8 @@
 // Package frames carries one answer between an agent and an entry as numbered
 // rpc.ResponseFrames. The agent's Writer numbers the frames and closes the
 // answer with its length and BLAKE3 digest; the entry's Assembler puts the
-// frames right and says how the answer ended. An answer without a matching
-// end mark never ends cleanly.
+// frames in order, drops duplicates and returns the outcome. An answer without
+// a matching end mark never counts as completed.
 //
 // Both types keep the state of one answer, do no I/O and are not safe for
 // concurrent use.
@@ -19,7 +19,7 @@
 // digestSize is the size of the answer's digest in bytes.
 const digestSize = 32
 
-// Writer makes the frames of one answer.
+// Writer creates the frames of one answer.
 type Writer struct {
 	requestID string
 	seq       uint64
@@ -31,7 +31,7 @@
 
 // NewWriter returns a Writer for the answer to one request.
 func NewWriter(requestID string) *Writer {
-	return &Writer{requestID: requestID, hasher: takeHasher()}
+	return &Writer{requestID: requestID, hasher: getHasher()}
 }
 
 // Head returns the first frame of an answer: its HTTP status and headers.
@@ -46,8 +46,8 @@
 	return f
 }
 
-// Data returns a frame with the next bytes of the body. The frame holds on to
-// data.
+// Data returns a frame with the next bytes of the body. The frame keeps a
+// reference to data.
 func (w *Writer) Data(data []byte) *rpc.ResponseFrame {
 	if !w.headSent {
 		panic("frames: data before the head in the answer to " + w.requestID)
@@ -59,7 +59,7 @@
 	return f
 }
 
-// End returns the end mark of a whole answer.
+// End returns the end mark of a complete answer.
 func (w *Writer) End() *rpc.ResponseFrame {
 	if !w.headSent {
 		panic("frames: end before the head in the answer to " + w.requestID)
@@ -71,8 +71,8 @@
 	return f
 }
 
-// Fail returns the last frame of an answer that is not whole. A "not run"
-// after a head has been sent would be a lie, so it is sent as unknown.
+// Fail returns the last frame of an incomplete answer. After a head has been sent,
+// the request may have run, so "not run" is sent as unknown.
 func (w *Writer) Fail(o outcome.Outcome) *rpc.ResponseFrame {
 	if o.Kind == outcome.Completed {
 		panic("frames: completed is no failure, in the answer to " + w.requestID)
@@ -88,13 +88,13 @@
 	return f
 }
 
-// Started reports whether a frame has been made.
+// Started reports whether a frame has been created.
 func (w *Writer) Started() bool { return w.seq > 0 }
 
-// Ended reports whether the last frame has been made.
+// Ended reports whether the last frame has been created.
 func (w *Writer) Ended() bool { return w.ended }
 
-// Length returns the bytes of body so far.
+// Length returns the number of body bytes so far.
 func (w *Writer) Length() uint64 { return w.length }
 
 func (w *Writer) finish() {
