--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,6 +1,7 @@
-// Package logsink writes log lines without ever blocking those who log: lines
-// wait in a bounded buffer, one goroutine writes them in batches, and what does
-// not fit or exceeds the rate is dropped, counted and told. State: the buffer.
+// Package logsink writes log lines without blocking the goroutines that log.
+// Lines are buffered up to a bound and written in batches by one goroutine.
+// Lines that exceed the buffer or the rate are dropped and counted, and a log
+// line reports their number. State: the buffer.
 package logsink
 
 import (
@@ -12,18 +13,17 @@
 )
 
 const (
-	// flushInterval is how long lines wait to be written together: one system call
-	// for many lines.
+	// flushInterval is the time between writes: one system call writes many lines.
 	flushInterval = 50 * time.Millisecond
-	// maxBuffer bounds the lines that wait, in bytes.
+	// maxBuffer is the maximum size of the buffered lines, in bytes.
 	maxBuffer = 256 << 10
-	// DefaultRate is how many bytes are written per second at most, on average over
-	// burstSeconds: about 400 lines.
+	// DefaultRate is the maximum average rate over burstSeconds, in bytes per second:
+	// about 400 lines per second.
 	DefaultRate  = 128 << 10
 	burstSeconds = 4
 )
 
-// Sink is an io.Writer of whole lines.
+// Sink is an io.Writer that expects one whole line per Write.
 type Sink struct {
 	out  io.Writer
 	rate int
@@ -50,7 +50,7 @@
 	return s
 }
 
-// Write takes one line; it never blocks and never fails.
+// Write buffers or drops one line. It never blocks on the output and never fails.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,27 +63,28 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of lines dropped since New.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
 func (s *Sink) run() {
 	defer close(s.closed)
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
-	var told int64
+	var reported int64
 	for {
 		select {
 		case <-ticker.C:
 		case <-s.done:
-			s.flush(&told)
+			s.flush(&reported)
 			return
 		}
-		s.flush(&told)
+		s.flush(&reported)
 	}
 }
 
-// flush writes what waits, and tells what was dropped since the last time.
-func (s *Sink) flush(told *int64) {
+// flush writes the buffered lines, and one more line with the number of lines
+// dropped since the previous flush.
+func (s *Sink) flush(reported *int64) {
 	now := time.Now()
 	s.mu.Lock()
 	limit := float64(s.rate * burstSeconds)
@@ -93,20 +94,20 @@
 	s.buf = s.spare[:0]
 	s.spare = lines
 	s.mu.Unlock()
-	if dropped := s.dropped.Load(); dropped > *told {
-		lines = append(lines, fmt.Sprintf(`{"level":"warn","lines":%d,"message":"log lines dropped"}`+"\n", dropped-*told)...)
-		*told = dropped
+	if dropped := s.dropped.Load(); dropped > *reported {
+		lines = append(lines, fmt.Sprintf(`{"level":"warn","lines":%d,"message":"log lines dropped"}`+"\n", dropped-*reported)...)
+		*reported = dropped
 	}
 	if len(lines) > 0 {
-		// There is nowhere to tell that the log can't be written.
+		// A failed write of the log can't be logged anywhere.
 		_, _ = s.out.Write(lines)
 	}
 }
 
-// closeTimeout bounds the wait for the last lines, where the reader is stalled.
+// closeTimeout bounds Close when the reader of the output is stalled.
 const closeTimeout = 200 * time.Millisecond
 
-// Close writes what waits and ends the sink.
+// Close writes the buffered lines and stops the sink.
 func (s *Sink) Close() {
 	s.once.Do(func() { close(s.done) })
 	select {
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// stalled is a reader of standard output that has stopped.
+// stalled is an output whose reader has stopped reading.
 type stalled struct{ release chan struct{} }
 
 func (s stalled) Write(p []byte) (int, error) {
@@ -18,7 +18,8 @@
 	return len(p), nil
 }
 
-func TestStalledReaderStopsNobody(t *testing.T) {
+// A reader of the log that stops reading must not block the goroutines that log.
+func TestWriteDoesNotBlockOnStalledReader(t *testing.T) {
 	out := stalled{make(chan struct{})}
 	defer close(out.release)
 	s := New(out, 1<<30)
@@ -26,7 +27,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for range 10_000 { // 10 MB, far over what is buffered
+		for range 10_000 { // 10 MB, far more than maxBuffer
 			_, _ = s.Write(line)
 			time.Sleep(time.Microsecond)
 		}
@@ -39,7 +40,7 @@
 	assert.Positive(t, s.Dropped())
 }
 
-// collected is a bytes.Buffer for several goroutines.
+// collected is a bytes.Buffer that is safe for concurrent writes.
 type collected struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -51,7 +52,7 @@
 	return c.buf.Write(p)
 }
 
-func TestFloodIsBoundedAndTold(t *testing.T) {
+func TestExcessLinesAreDroppedAndReported(t *testing.T) {
 	var out collected
 	s := New(&out, 1000)
 	for range 1000 {
