--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time, unless a context ends before it.
+// Package pause provides a sleep that a context can interrupt.
 package pause
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for d, or until ctx is done. It tells whether ctx is not done; a time
-// of 0 or less is no wait.
+// For waits for d or until ctx is done, and reports whether ctx is still live.
+// It does not wait if d is 0 or less.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestForWaitsForTheTime(t *testing.T) {
+func TestForWaitsForDuration(t *testing.T) {
 	const d = 20 * time.Millisecond
 	began := time.Now()
 	assert.True(t, For(t.Context(), d))
 	assert.GreaterOrEqual(t, time.Since(began), d)
 }
 
-func TestForEndsWithItsContext(t *testing.T) {
+func TestForReturnsWhenContextIsCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() { ended <- For(ctx, time.Hour) }()
@@ -23,7 +23,7 @@
 	assert.False(t, <-ended)
 }
 
-func TestForWithoutTimeOnlyAsksTheContext(t *testing.T) {
+func TestForDoesNotWaitWithoutPositiveDuration(t *testing.T) {
 	assert.True(t, For(t.Context(), 0))
 	assert.True(t, For(t.Context(), -time.Hour))
 	ctx, cancel := context.WithCancel(t.Context())
