--- a/internal/unacked/unacked.go
+++ b/internal/unacked/unacked.go
@@ -1,6 +1,7 @@
-// Package unacked bounds how long what was sent over a TCP connection may be without an
-// acknowledgement of the peer's kernel. A connection can go silent for good, without a
-// reset, while new ones work; TCP alone gives it up after minutes. It keeps no state.
+// Package unacked bounds how long data sent over a TCP connection may remain
+// unacknowledged by the peer's kernel. A connection can go silent permanently without a
+// reset while new connections work, and TCP by default closes it only after minutes. It
+// keeps no state.
 package unacked
 
 import (
@@ -11,12 +12,13 @@
 	"time"
 )
 
-// userTimeout is TCP_USER_TIMEOUT of Linux (RFC 5482), in milliseconds.
+// userTimeout is the Linux socket option TCP_USER_TIMEOUT (RFC 5482), whose value is in
+// milliseconds.
 const userTimeout = 18
 
-// Bound makes a connection fail, with syscall.ETIMEDOUT, once what was sent is not
-// acknowledged for d. Connections of other kinds are left as they are. Its error says
-// that the system does not let it.
+// Bound makes a TCP connection fail with syscall.ETIMEDOUT once sent data remains
+// unacknowledged for d. It leaves other kinds of connections unchanged. It returns an
+// error if the operating system refuses the option.
 func Bound(conn net.Conn, d time.Duration) error {
 	tcp, ok := conn.(syscall.Conn)
 	if !ok {
@@ -31,12 +33,12 @@
 		err = errors.Join(err, failed)
 	}
 	if err != nil {
-		return fmt.Errorf("bound what is unacknowledged: %w", err)
+		return fmt.Errorf("set TCP_USER_TIMEOUT: %w", err)
 	}
 	return nil
 }
 
-// Of returns the bound of a connection, 0 if there is none.
+// Of returns the bound set on a connection, or 0 if there is none.
 func Of(conn net.Conn) (time.Duration, error) {
 	tcp, ok := conn.(syscall.Conn)
 	if !ok {
@@ -52,7 +54,7 @@
 		err = errors.Join(err, failed)
 	}
 	if err != nil {
-		return 0, fmt.Errorf("read bound of what is unacknowledged: %w", err)
+		return 0, fmt.Errorf("read TCP_USER_TIMEOUT: %w", err)
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
--- a/internal/unacked/unacked_test.go
+++ b/internal/unacked/unacked_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBound(t *testing.T) {
+func TestBoundSetsUserTimeout(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer lis.Close()
@@ -23,10 +23,10 @@
 	require.NoError(t, err)
 	assert.Equal(t, 1500*time.Millisecond, got)
 	require.NoError(t, conn.Close())
-	assert.Error(t, Bound(conn, time.Second), "it is closed")
+	assert.Error(t, Bound(conn, time.Second), "closed connection")
 
 	pipe, _ := net.Pipe()
-	assert.NoError(t, Bound(pipe, time.Second), "no TCP")
+	assert.NoError(t, Bound(pipe, time.Second), "not a TCP connection")
 	got, err = Of(pipe)
 	assert.NoError(t, err)
 	assert.Zero(t, got)
