--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,9 +1,10 @@
-// Package rendezvous is the hash of rendezvous hashing (highest random weight):
-// for one key, the member with the highest weight is chosen, and a member that
-// joins or leaves changes the choice of its own keys only.
+// Package rendezvous provides the hash and the weight for rendezvous hashing
+// (highest random weight): a key is assigned to the member with the highest
+// weight, so a member that joins or leaves moves only its own keys.
 package rendezvous
 
-// Hash is FNV-1a with a final mix, since its low bits alone are too regular.
+// Hash returns the FNV-1a hash of s, mixed once more since the low bits of FNV-1a
+// alone are too regular.
 func Hash(s string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	h := uint64(offset)
@@ -14,7 +15,8 @@
 	return mix(h)
 }
 
-// Weight is the weight of the pair of two hashes.
+// Weight returns the weight of a pair of hashes: a key's and a member's. It is not
+// symmetric.
 func Weight(a, b uint64) uint64 { return mix(a ^ mix(b+0x9e3779b97f4a7c15)) }
 
 // mix is the finaliser of SplitMix64.
