--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,7 +1,7 @@
 // Package testseed makes property tests repeatable: importing it sets a fixed
-// seed for rapid, so that a test run gives the same verdict every time. The
-// flags -rapid.seed and -rapid.checks still override it for a wider search.
-// Only test files import it.
+// seed for rapid, so that every test run has the same result. The flags
+// -rapid.seed and -rapid.checks still override it for a wider search. Only test
+// files import it.
 package testseed
 
 import (
@@ -11,7 +11,7 @@
 	_ "pgregory.net/rapid" // registers its flags
 )
 
-// Seed is the fixed seed; any number but 0 (random) would do.
+// Seed is the fixed seed. It must not be 0, which makes rapid use a random seed.
 const Seed = "20261202"
 
 func init() {
@@ -22,8 +22,8 @@
 	}
 }
 
-// Checks sets how many cases each property of the importing package runs,
-// unless the command line says otherwise. Call it from an init function.
+// Checks sets the number of cases for each property of the importing package. The
+// flag -rapid.checks overrides it. Call it from an init function.
 func Checks(n int) {
 	if err := flag.Set("rapid.checks", fmt.Sprint(n)); err != nil {
 		panic(fmt.Sprintf("testseed: %v", err))
