--- a/cmd/lynxgated/main.go
+++ b/cmd/lynxgated/main.go
@@ -1,8 +1,8 @@
-// Lynxgated is the daemon of lynxgate. Its TOML settings say which roles it
-// takes on: control, entry or agent.
+// Lynxgated is the daemon of lynxgate. Its TOML settings select its roles:
+// control, entry or agent.
 //
-// Exit codes: 0 after a graceful stop, 1 when it failed or a stop was forced,
-// 2 when the settings are not valid.
+// Exit codes: 0 after a graceful stop, 1 after a failure or a forced stop, 2 if
+// the settings are not valid.
 package main
 
 import (
--- a/cmd/lynxgated/platform.go
+++ b/cmd/lynxgated/platform.go
@@ -22,22 +22,23 @@
 )
 
 const (
-	// logTime tells the milliseconds, by which lines of one request are ordered.
-	logTime = "2006-01-02T15:04:05.000Z07:00"
-	// exitMargin is how long before the end of the grace period the process ends
-	// whatever hangs, a stalled disk for example.
+	// logTimeFormat includes milliseconds, so that the log lines of one request can be ordered.
+	logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
+	// exitMargin is how long before the end of the grace period the process exits even
+	// if something hangs, for example on a stalled disk.
 	exitMargin = 150 * time.Millisecond
-	// settingsPoll is how often the settings file is looked at: it may change
-	// without a signal.
+	// settingsPoll is the interval between reads of the settings file, which may change
+	// without a SIGHUP.
 	settingsPoll = 2 * time.Second
-	// memoryShare of the memory that the process may use is the limit above which
-	// garbage is collected at any cost.
+	// memoryShare is the fraction of the memory available to the process that is set as
+	// the memory limit of the Go runtime. Above it the garbage collector runs at any cost.
 	memoryShare = 0.7
-	// gcPercent trades processor time for memory, of which VMs have little.
+	// gcPercent is below the default of 100 since VMs have little memory: it trades
+	// processor time for memory.
 	gcPercent = 60
 )
 
-// liveSettings are the settings as of now.
+// liveSettings holds the settings in force and reloads them from their file.
 type liveSettings struct {
 	path    string
 	data    []byte
@@ -58,8 +59,9 @@
 	return nil
 }
 
-// follow reads the settings again when hup tells it to, or when the file has changed.
-func (l *liveSettings) follow(ctx context.Context, hup <-chan os.Signal, log zerolog.Logger) {
+// watch reloads the settings on a signal from hup and at every settingsPoll, until ctx
+// is done. Settings that are not valid leave the previous ones in force.
+func (l *liveSettings) watch(ctx context.Context, hup <-chan os.Signal, log zerolog.Logger) {
 	ticker := time.NewTicker(settingsPoll)
 	defer ticker.Stop()
 	for {
@@ -80,7 +82,7 @@
 	}
 }
 
-// seeds returns the rpc addresses of the control servers that the settings name.
+// seeds returns the RPC addresses of the control servers listed in the settings.
 func (l *liveSettings) seeds() []string {
 	s := l.current.Load()
 	var addrs []string
@@ -90,8 +92,8 @@
 	return addrs
 }
 
-// peers returns the rpc addresses by the name under which a control server takes
-// part in the log: its IP number, which its VM keeps.
+// peers returns the RPC addresses of the control servers by member name. The member
+// name of a control server in the replicated log is its IP address, which its VM keeps.
 func (l *liveSettings) peers() map[string]string {
 	out := map[string]string{}
 	for _, addr := range l.seeds() {
@@ -108,15 +110,16 @@
 	return host
 }
 
-// servePlatform runs the process as the users' platform has set it up.
+// servePlatform runs the process with the settings file of the users' platform. An empty
+// path means the path that the platform provides.
 func servePlatform(path string) int {
-	// Signals are taken before anything that takes time: without a taker each of them
-	// ends the process.
+	// Signal handlers are installed before any slow step: without a handler each of these
+	// signals terminates the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	zerolog.TimeFieldFormat = logTime
+	zerolog.TimeFieldFormat = logTimeFormat
 	sink := logsink.New(os.Stdout, logsink.DefaultRate)
 	defer sink.Close()
 	log := zerolog.New(sink).With().Timestamp().Logger()
@@ -138,7 +141,7 @@
 	if s.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * s.Limits.MemoryMB * (1 << 20)))
 	}
-	go live.follow(stop, hup, log)
+	go live.watch(stop, hup, log)
 	cfg := platformConfig(live, log)
 	context.AfterFunc(stop, func() {
 		time.AfterFunc(cfg.Grace-exitMargin, func() {
@@ -156,7 +159,8 @@
 	return exitOK
 }
 
-// platformConfig puts what the platform tells into the daemon's own words.
+// platformConfig converts the settings of the users' platform to the configuration of
+// the daemon.
 func platformConfig(live *liveSettings, log zerolog.Logger) fleetdaemon.Config {
 	s := live.current.Load()
 	cfg := fleetdaemon.Config{
