--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -15,8 +15,8 @@
 	return mix(h)
 }
 
-// Weight returns the weight of a pair of hashes: a key's and a member's. It is not
-// symmetric.
+// Weight returns the weight of a key and a member, given their hashes. It is not
+// symmetric, so the order of the two must be the same for all members.
 func Weight(a, b uint64) uint64 { return mix(a ^ mix(b+0x9e3779b97f4a7c15)) }
 
 // mix is the finaliser of SplitMix64.
