--- a/internal/trace/deployments.go
+++ b/internal/trace/deployments.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// Load is what one service receives.
+// Load describes the requests that one service receives.
 type Load struct {
 	Service string
 	Method  string
 	Path    string
-	// Share of all requests; the shares of a deployment are relative.
+	// Share is the relative share of requests, among the loads of the deployment.
 	Share float64
-	// Priority sent with each request; nil sends none.
+	// Priority is sent with each request; nil sends none.
 	Priority *int
-	// PromptWords and MaxTokens are the bounds of requests for models, both
-	// inclusive. TemplateWords of each prompt are common to an organisation.
+	// PromptWords and MaxTokens are inclusive bounds for requests to model
+	// services. TemplateWords is the number of words at the start of each prompt
+	// that are common to the requests of an organisation.
 	PromptWords   [2]int
 	TemplateWords int
 	MaxTokens     [2]int
 	// Streamed is the fraction of answers that are streamed.
 	Streamed float64
-	// AtMostOnce requests bring a key; Resent of them are sent again with it.
+	// AtMostOnce requests carry an idempotency key; Resent is the fraction of them
+	// that the caller sends again with the same key.
 	AtMostOnce bool
 	Resent     float64
 	Deadline   time.Duration
 }
 
-// Deployment is a set of organisations and what they ask for.
+// Deployment is a set of organisations and the load that they generate.
 type Deployment struct {
 	Name          string
 	Organisations []OrganisationLoad
 	Loads         []Load
-	// Topics are words that make up prompts and bodies.
+	// Topics are the words from which prompts and bodies are generated.
 	Topics []string
 }
 
@@ -39,16 +41,17 @@
 	Share float64
 }
 
-// urgent is the priority of dispatches.
+// urgent is the priority of requests to the service dispatch-svc.
 const urgent = 0
 
-// Shares of large and small organisations: a few large ones send most.
+// Shares of large and small organisations: a few large ones send most requests.
 const (
 	largeShare = 8
 	smallShare = 1
 )
 
-// organisations gives the first few names the large share.
+// organisations gives the first of the names, as many as large says, the large share and
+// the others the small one.
 func organisations(large int, names ...string) []OrganisationLoad {
 	loads := make([]OrganisationLoad, len(names))
 	for i, name := range names {
@@ -60,9 +63,9 @@
 	return loads
 }
 
-// Deployments returns the two deployments at their sizes of today. Shares of
-// services follow their numbers of workers, with more for plain services,
-// whose requests are short.
+// Deployments returns the two deployments at their current sizes. The share of a
+// service follows its number of backend servers, with a larger share for plain
+// services, whose requests are short.
 func Deployments() []Deployment {
 	return []Deployment{folletoAndino(), portvaktsbolaget()}
 }
--- a/internal/trace/generate.go
+++ b/internal/trace/generate.go
@@ -9,31 +9,33 @@
 	"time"
 )
 
-// resendAfter bounds the time after which a caller sends a request again.
+// resendAfter is the maximum time until a caller sends a request again.
 const resendAfter = 2 * time.Second
 
-// Settings of the generator.
+// Settings configure the generator.
 type Settings struct {
 	Deployment Deployment
 	Seed       uint64
-	// Rate is the mean number of requests a second, at exponential gaps.
+	// Rate is the mean number of requests per second; gaps between requests are
+	// exponentially distributed.
 	Rate     float64
 	Duration time.Duration
-	// Expect of requests that may run more than once; empty means
-	// AnsweredWhole. The others expect AtMostOnce.
+	// Expect is the expectation of requests that may run more than once; empty
+	// means AnsweredWhole. All other requests expect AtMostOnce.
 	Expect Expectation
-	// Burst, if not nil, lets one organisation send more for a while.
+	// Burst, if not nil, raises the rate of one organisation for a time.
 	Burst *Burst
 }
 
-// Burst is a time in which one organisation sends Factor times its share.
+// Burst is a period in which one organisation sends at Factor times its usual rate. From
+// and To are offsets from the start of the trace.
 type Burst struct {
 	Organisation string
 	From, To     time.Duration
 	Factor       float64
 }
 
-// Generate makes a trace; the same settings give the same trace.
+// Generate returns a trace sorted by offset; the same settings give the same trace.
 func Generate(s Settings) []Request {
 	if s.Expect == "" {
 		s.Expect = AnsweredWhole
@@ -47,16 +49,16 @@
 	return g.requests
 }
 
-// generator is one run of Generate.
+// generator is the state of one call of Generate.
 type generator struct {
 	Settings
 	random   *rand.Rand
 	template map[string]string // by organisation and service
 	requests []Request
-	serial   int // of requests of the organisation under way
+	serial   int // number of the last request of the current organisation
 }
 
-// templates makes the words that all prompts of an organisation begin with.
+// templates generates the start of all prompts, by organisation and service.
 func (g *generator) templates() {
 	g.template = make(map[string]string)
 	for _, organisation := range g.Deployment.Organisations {
@@ -67,7 +69,7 @@
 	}
 }
 
-// arrivals makes the requests of one organisation.
+// arrivals generates the requests of one organisation.
 func (g *generator) arrivals(organisation OrganisationLoad) {
 	total := 0.0
 	for _, o := range g.Deployment.Organisations {
@@ -85,7 +87,7 @@
 	}
 }
 
-// factor is how much more the organisation sends at the time.
+// factor returns the multiple of its usual rate at which an organisation sends at a time.
 func (g *generator) factor(organisation string, at time.Duration) float64 {
 	b := g.Burst
 	if b == nil || b.Organisation != organisation || at < b.From || at >= b.To {
@@ -94,7 +96,7 @@
 	return b.Factor
 }
 
-// pick draws a service by its share.
+// pick draws the load of a service, weighted by share.
 func (g *generator) pick() Load {
 	total := 0.0
 	for _, load := range g.Deployment.Loads {
@@ -110,7 +112,8 @@
 	return g.Deployment.Loads[len(g.Deployment.Loads)-1]
 }
 
-// add makes one request, and the repetition that some have.
+// add generates one request and, for a fraction of the at-most-once requests, the same
+// request sent again.
 func (g *generator) add(organisation string, load Load, at time.Duration) {
 	g.serial++
 	request := Request{
@@ -136,7 +139,7 @@
 	}
 }
 
-// fillModel makes the prompt and the length of the answer.
+// fillModel sets the prompt, the maximum answer length and streaming.
 func (g *generator) fillModel(request *Request, load Load) {
 	template := g.template[request.Organisation+"/"+load.Service]
 	request.Prompt = template + " " + g.words(g.between(load.PromptWords)) + " " + request.ID
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace is the format of recorded requests, and a seeded generator of
-// traces for the two deployments at their sizes of today.
+// Package trace defines the format of recorded requests, and a seeded generator of
+// traces for the two deployments at their current sizes.
 //
 // A trace is a file of JSON lines, one Request each, sorted by offset. The
 // package keeps no state.
@@ -17,7 +17,7 @@
 	"lynxgate.dev/lynxgate/internal/standin/tokens"
 )
 
-// maxLine bounds one line of a trace, in bytes.
+// maxLine is the maximum length of a line of a trace, in bytes.
 const maxLine = 8 << 20
 
 // Expectation is the outcome that a request must have.
@@ -25,18 +25,19 @@
 
 // The expectations.
 const (
-	// AnsweredWhole: the whole answer, nothing less.
+	// AnsweredWhole requires the complete answer.
 	AnsweredWhole Expectation = "answered-whole"
-	// AnsweredWholeOrNotRun: the whole answer, or told that it did not run.
+	// AnsweredWholeOrNotRun requires the complete answer, or an error that says that
+	// the request did not run.
 	AnsweredWholeOrNotRun Expectation = "answered-whole-or-not-run"
-	// AnsweredWholeOrTold: the whole answer, or an explicit error. An answer
-	// that just breaks off is not enough.
+	// AnsweredWholeOrTold requires the complete answer or an explicit error. A
+	// truncated answer without an error does not meet it.
 	AnsweredWholeOrTold Expectation = "answered-whole-or-told"
-	// AtMostOnce: any outcome that is true, and at most one run.
+	// AtMostOnce allows any outcome that is reported correctly, with at most one run.
 	AtMostOnce Expectation = "at-most-once"
 )
 
-// valid reports whether the expectation is a known one.
+// valid reports whether the expectation is known.
 func (e Expectation) valid() bool {
 	switch e {
 	case AnsweredWhole, AnsweredWholeOrNotRun, AnsweredWholeOrTold, AtMostOnce:
@@ -45,7 +46,7 @@
 	return false
 }
 
-// Paths of model services; any other path is that of a plain service.
+// Paths of model services; any other path belongs to a plain service.
 const (
 	PathChat       = "/v1/chat/completions"
 	PathCompletion = "/v1/completions"
@@ -54,19 +55,19 @@
 // Request is one recorded request.
 type Request struct {
 	ID string `json:"id"`
-	// OffsetMS is the time of the request since the start of the trace.
+	// OffsetMS is the time since the start of the trace, in milliseconds.
 	OffsetMS     int64  `json:"offset_ms"`
 	Organisation string `json:"organisation"`
 	Service      string `json:"service"`
 	Method       string `json:"method"`
 	Path         string `json:"path"`
-	// Priority is sent to the system when it is set; 0 is most urgent.
+	// Priority is sent with the request if it is set; 0 is the most urgent.
 	Priority *int `json:"priority,omitempty"`
-	// Prompt, MaxTokens and Stream belong to requests for model services.
+	// Prompt, MaxTokens and Stream are used only by requests for model services.
 	Prompt    string `json:"prompt,omitempty"`
 	MaxTokens int    `json:"max_tokens,omitempty"`
 	Stream    bool   `json:"stream,omitempty"`
-	// Body is sent as it is to plain services.
+	// Body is sent unchanged to plain services.
 	Body           string `json:"body,omitempty"`
 	IdempotencyKey string `json:"idempotency_key,omitempty"`
 	// DeadlineMS is how long the caller waits, in milliseconds; 0 means no limit.
@@ -105,7 +106,7 @@
 	return encoded
 }
 
-// EnginePrompt returns the prompt as the fake engine sees it.
+// EnginePrompt returns the prompt as the fake engine receives it.
 func (r Request) EnginePrompt() string {
 	if r.Path == PathChat {
 		return tokens.ChatPrompt(r.messages())
@@ -117,26 +118,26 @@
 	return []tokens.Message{{Role: "user", Content: r.Prompt}}
 }
 
-// validate names what is wrong with the request.
+// validate returns the first problem found in the request.
 func (r Request) validate() error {
 	switch {
 	case r.ID == "" || r.Organisation == "" || r.Service == "" || r.Method == "":
-		return errors.New("id, organisation, service and method are needed")
+		return errors.New("id, organisation, service and method are required")
 	case !strings.HasPrefix(r.Path, "/"):
 		return fmt.Errorf("path %q does not begin with /", r.Path)
 	case r.ForModel() && (r.Prompt == "" || r.MaxTokens < 1):
-		return errors.New("requests for models need prompt and max_tokens")
+		return errors.New("requests for model services require prompt and max_tokens")
 	case r.OffsetMS < 0 || r.DeadlineMS < 0:
 		return errors.New("offset_ms and deadline_ms must not be negative")
 	case !r.Expect.valid():
 		return fmt.Errorf("unknown expectation %q", r.Expect)
 	case r.Expect == AtMostOnce && r.IdempotencyKey == "":
-		return errors.New("at-most-once needs an idempotency_key")
+		return errors.New("at-most-once requires an idempotency_key")
 	}
 	return nil
 }
 
-// Read reads a trace. Errors name the line.
+// Read reads a trace. Its errors contain the line number.
 func Read(from io.Reader) ([]Request, error) {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(nil, maxLine)
@@ -167,7 +168,7 @@
 	return request, request.validate()
 }
 
-// Write writes a trace.
+// Write writes a trace as JSON lines.
 func Write(to io.Writer, requests []Request) error {
 	encoder := json.NewEncoder(to)
 	for _, request := range requests {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -13,7 +13,7 @@
 
 	"lynxgate.dev/lynxgate/internal/trace"
 
-	_ "lynxgate.dev/lynxgate/internal/testseed" // the same schedules every run
+	_ "lynxgate.dev/lynxgate/internal/testseed" // fixed seed for rapid
 )
 
 func TestGeneratedTraces(t *testing.T) {
@@ -43,14 +43,14 @@
 				continue
 			}
 			if body, sent := bodies[r.IdempotencyKey]; sent {
-				require.Equal(t, body, r.Body, "a request sent again is the same")
+				require.Equal(t, body, r.Body, "a request sent again has the same body")
 			}
 			bodies[r.IdempotencyKey] = r.Body
 		}
 	})
 }
 
-func TestLargeOrganisationsAndBursts(t *testing.T) {
+func TestLargeOrganisationsAndBurstsSendMore(t *testing.T) {
 	settings := trace.Settings{
 		Deployment: trace.Deployments()[1], Seed: 3, Rate: 100, Duration: 60 * time.Second,
 		Burst: &trace.Burst{Organisation: "limhamn", From: 20 * time.Second, To: 40 * time.Second, Factor: 30},
@@ -67,7 +67,7 @@
 	require.Greater(t, inBurst, 4*(counts["limhamn"]-inBurst))
 }
 
-// The committed traces are what the generator makes.
+// The committed traces match the output of the generator.
 func TestCommittedTraces(t *testing.T) {
 	for _, deployment := range trace.Deployments() {
 		var made bytes.Buffer
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestReadNamesTheLine(t *testing.T) {
+func TestReadErrorsContainLineNumber(t *testing.T) {
 	const good = `{"id":"a","offset_ms":0,"organisation":"o","service":"s","method":"POST","path":"/x","expect":"answered-whole"}`
 	cases := map[string]string{
 		`{`:                                   "line 2",
