--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// queuedPenalty is the cost of one more request at a server beside its slots: it slows the
-	// others, and its prompt may be read first.
+	// queuedPenalty is the cost of each request at a server, whether it runs or waits there. It slows
+	// the others, and its prompt may be read first.
 	queuedPenalty = 20 * time.Millisecond
 	// otherZonePenalty is by how much a server of another zone has to be better to be
-	// preferred: traffic between zones is paid for.
+	// preferred. The reason is that traffic between zones is paid for.
 	otherZonePenalty = 25 * time.Millisecond
-	// otherOwnerPenalty is by how much a server that another entry owns has to be better:
-	// the requests that its owner has just sent there are not known here yet, some ten by
-	// their cost of queuedPenalty.
+	// otherOwnerPenalty is by how much a server that this entry does not own has to be better to
+	// be preferred. The requests that its owner has just sent there are not known here yet: the
+	// penalty stands for some ten of them, at queuedPenalty each.
 	otherOwnerPenalty = 200 * time.Millisecond
 	// failurePenalty is the cost of a failure share of 1.
 	failurePenalty = 300 * time.Millisecond
@@ -254,7 +254,8 @@
 const (
 	// ResultSucceeded: the server answered.
 	ResultSucceeded Result = iota
-	// ResultBusy: it refused the request for lack of a free slot.
+	// ResultBusy: it did not run the request, mostly for lack of a free slot, or this entry may
+	// open no further connection to it.
 	ResultBusy
 	// ResultFailed: the server or the connection to it failed.
 	ResultFailed
--- a/internal/balance/passing.go
+++ b/internal/balance/passing.go
@@ -8,11 +8,12 @@
 // that does not end by itself.
 
 const (
-	// loadingShare is the share of a service's servers that load during such an overload;
-	// loadingTail is how long its callers stay afterwards: refused ones retry within 2 s, and a
-	// request takes as long.
+	// loadingShare is the share of a service's servers that must be loading for an overload to
+	// count as one that ends by itself.
 	loadingShare = 0.1
-	loadingTail  = 4 * time.Second
+	// loadingTail is how long such an overload is taken to last after the loading. Refused callers
+	// retry within 2 s, and their requests take another 2 s.
+	loadingTail = 4 * time.Second
 	// loadingCheckInterval is how often loading servers are counted: a rollout to all takes seconds.
 	loadingCheckInterval = 100 * time.Millisecond
 )
--- a/internal/balance/server.go
+++ b/internal/balance/server.go
@@ -32,8 +32,8 @@
 	seenAt   time.Time
 	engine   *fleet.Engine
 	sameZone bool
-	// owned: this entry owns the server; otherOwner: another one does. Both are false where
-	// servers have no owners.
+	// owned: this entry owns the server; otherOwner: it does not, because another entry or none
+	// owns it. Both are false where servers are not divided among entries.
 	owned, otherOwner bool
 
 	// inFlight counts the requests of this entry; pendingRead is how long the engine
@@ -43,9 +43,10 @@
 	load        load
 	health      health
 	excess      excess
-	// retired: another server has confirmed that it has the address; sameAddress are those that
-	// announce the same address, see replaced.
-	retired     bool
+	// retired: the server is removed for good. Another server has confirmed that it has the address,
+	// or a later incarnation under the same id is known.
+	retired bool
+	// sameAddress are the other servers that announce the same address, see replaced.
 	sameAddress []*Server
 	// busyUntil is until when a server that refused for lack of a free slot is not chosen.
 	busyUntil time.Time
--- a/internal/balance/unseen.go
+++ b/internal/balance/unseen.go
@@ -14,10 +14,10 @@
 
 const (
 	// missStep is by how many requests the estimate grows when a first event came after its objective,
-	// or a server of another entry refused: an entry that sends ten a second to others has learned an
-	// overload within one. allowedMissShare is the share of late first events at which the estimate
-	// stays the same.
-	missStep         = 0.5
+	// or a server of another entry refused. An entry that sends ten requests a second to servers of
+	// others learns of an overload within a second.
+	missStep = 0.5
+	// allowedMissShare is the share of late first events at which the estimate stays the same.
 	allowedMissShare = 0.1
 	// maxUnseenShare is the bound of the estimate, as a share of a server's slots.
 	maxUnseenShare = 0.5
--- a/internal/configfeed/chooser.go
+++ b/internal/configfeed/chooser.go
@@ -108,7 +108,7 @@
 	return wait
 }
 
-// sourceLeft records that the current source was sourceLeft: it was unreachable, silent,
+// sourceLeft records that the current source was left: it was unreachable, silent,
 // stale, or closed the stream. A starting process adopts the candidate once it
 // has tried all sources after startWait.
 func (c *chooser) sourceLeft(now time.Time) decision {
--- a/internal/consensus/auto_join_test.go
+++ b/internal/consensus/auto_join_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestServerNotAddedWithoutAdmitNewcomers(t *testing.T) {
+func TestServerNotAddedWithoutAutoAddServers(t *testing.T) {
 	s := settledCluster(t, 3)
 	s.addServer("s9")
 	s.rounds(40 * simElectionTicks)
--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -112,7 +112,8 @@
 }
 
 // Send sends a request and returns the head of its answer, which must arrive before
-// headBy (a time of package clock). Errors match ErrNotSent, ErrLost or ErrInvalidAnswer.
+// headBy (a time of package clock). Errors match ErrNotSent, ErrConnectionLost or
+// ErrInvalidAnswer.
 // Cancelling ctx closes the connection at any time until the answer is closed.
 func (p *Pool) Send(ctx context.Context, r *Request, headBy time.Time) (*Answer, error) {
 	c, err := p.get(ctx)
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -34,7 +34,8 @@
 	// sent is true once a part of the answer has been sent to the caller.
 	sent   bool
 	buffer bytes.Buffer
-	// tokens counts the data events passed on, after which a retry resumes.
+	// tokens counts the data events passed on, after which a retry resumes. The count is also
+	// reported to admission as the tokens used.
 	tokens int
 	// finalEvent is true once the final event of the stream ([DONE]) has arrived.
 	finalEvent bool
--- a/internal/follow/turns_test.go
+++ b/internal/follow/turns_test.go
@@ -141,7 +141,7 @@
 	assert.Equal(t, []quarantine.Update{{Digest: suspectContent, Server: "s-3", Cleared: true, At: now.Add(-500 * time.Millisecond)}}, updates)
 }
 
-// Alone decides the weight of a crash, so it must survive the transfer.
+// SoleAttempt decides the weight of a crash, so it must survive the transfer.
 func TestSuspicionsRoundTrip(t *testing.T) {
 	now := time.Now()
 	updates := []quarantine.Update{
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -20,7 +20,8 @@
 	streamSilenceTimeout = 800 * time.Millisecond
 )
 
-// handoverReason is why a handover is begun.
+// handoverReason is why a handover is begun. One reason, handoverAnswered, replaces that of the
+// beginning when the handover ends.
 type handoverReason string
 
 const (
--- a/internal/placement/release.go
+++ b/internal/placement/release.go
@@ -6,12 +6,12 @@
 	"lynxgate.dev/lynxgate/internal/inventory"
 )
 
-// servicePool holds the rules of one service and the VMs that they share:
-// those that no rule chose but that still hold a replica.
+// servicePool holds the rules of one service and the VMs that they share: those of the
+// service that no rule chose.
 type servicePool struct {
 	service string
 	rules   []*ruleState
-	// released VMs hold a replica and are chosen by no rule.
+	// released VMs are chosen by no rule. Some may still hold a replica, others are empty.
 	released []*vmState
 	// takenDown counts the live replicas that rolls of this plan take down.
 	takenDown int
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// crashesToQuarantine is the number of crashes after which content is quarantined: one may be a
-	// fault of the server, two may be coincidental kills, and each further attempt costs all answers
-	// in progress at one more server.
+	// crashesToQuarantine is the number of crashes after which content is quarantined. One may be a
+	// fault of the server and two may be coincidental kills, but each further attempt may cost all
+	// answers in progress at one more server.
 	crashesToQuarantine = 3
-	// crashWeight is the weight of one crash, where a common event weighs 1; maxCrashesPerEvent is how
-	// many crashes of one event count at most. Content that callers request all the time is in flight at
-	// most servers, so that a power loss of a rack crashes several servers with it: that is one
-	// observation, which a further attempt, dispatched alone, has to confirm. Content that does crash
-	// servers costs one more server where several attempts were in flight.
+	// crashWeight is the weight of one crash, where the first common event weighs 1. maxCrashesPerEvent
+	// is how many crashes of one event count at most, besides those of attempts that were dispatched
+	// alone. Content that callers request all the time is in flight at most servers, so a power loss of
+	// a rack crashes several servers that have it, and a further attempt, dispatched alone, has to
+	// confirm that the content is the cause. The price is that content which does crash servers crashes
+	// one more where several attempts were in flight.
 	crashWeight, maxCrashesPerEvent = 12, 2
-	// eventWindow is the time since its first crash within which crashes are one event. Entries see
-	// simultaneous kills within some ms, or a round trip of 100 ms; daemons that are short of
-	// processor time detect and report them up to some hundred ms later.
+	// eventWindow is the time since the first crash within which crashes count as one event. Entries
+	// see simultaneous kills within some ms, or within a round trip of 100 ms. Daemons that are short
+	// of processor time detect and report them up to some hundred ms later.
 	eventWindow = time.Second
 	// An event is common, such as a power loss or a rolling restart, if at least commonEventServers
 	// servers crash within commonWindow and the content was at less than half of them. Common events
-	// weigh the square of their number: content with one attempt at a time meets one or two by chance,
-	// and three weigh less than one crash; at the sixth it is quarantined, since several requests that
-	// crash servers may be active at the same time.
+	// together weigh the square of their number. Content with one attempt at a time meets one or two by
+	// chance, and three weigh less than one crash. At the sixth the content is quarantined, since
+	// several requests that crash servers may be active at the same time.
 	commonEventServers = 4
 	commonWindow       = 250 * time.Millisecond
 	// settleTime is how long updates about an event may still arrive: until then content is not
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -94,9 +94,9 @@
 	n.now++
 	n.core.Tick()
 	if n.core.State().Role == consensus.Leader {
-		n.notLeaderSince = n.now
+		n.lastLeaderTick = n.now
 	}
-	if n.now-n.notLeaderSince > n.pendingCallTicks() {
+	if n.now-n.lastLeaderTick > n.pendingCallTicks() {
 		n.applier.failWaiters()
 	}
 	n.retryReads()
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -53,7 +53,7 @@
 	// The fields below are owned by the event loop.
 	core           *consensus.Core
 	now            uint64 // ticks
-	notLeaderSince uint64 // last tick as the leader
+	lastLeaderTick uint64 // last tick as the leader, 0 if there was none
 	reads          map[uint64][]*read
 	readContext    uint64
 	contactTick    uint64    // tick of the last contact with a quorum
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -13,7 +13,7 @@
 
 var t0 = time.Unix(1_000_000, 0)
 
-func TestEnded(t *testing.T) {
+func TestRecord(t *testing.T) {
 	overload := outcome.NewNotRun(outcome.Overloaded, "", 0)
 	lost := outcome.NewUnknown(outcome.ConnectionLost, "")
 	leaving := outcome.NewNotRun(outcome.Leaving, "", 0)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -135,7 +135,7 @@
 	QueueLength int `toml:"queue_length"`
 	// DefaultDeadline is the deadline of requests that set none.
 	DefaultDeadline time.Duration `toml:"default_deadline"`
-	// RetryBudgetRatio is the maximum ratio of retries to requests, over all requests.
+	// RetryBudgetRatio is the maximum ratio of retries to requests, for each service.
 	RetryBudgetRatio float64 `toml:"retry_budget_ratio"`
 	// WatchSubset is how many agents of each service this entry watches and
 	// sends requests to.
--- a/internal/staging/goal.go
+++ b/internal/staging/goal.go
@@ -73,8 +73,10 @@
 
 // chooseVersion returns the version to fetch: the newest, or the previous one if most of
 // it had time to arrive before the newest was named. Starting over with the newest would
-// then leave the engines without a version that may be used. The choice depends on the
-// same times at all agents, so that they choose the same version.
+// then leave the engines without a version that may be used. The times of the namings are the
+// same at all agents, so that they tend to choose the same version. The choice also depends on
+// what this agent knows: whether the origin is down, whether the digests of the newer version
+// are known, and how many pieces of each are available.
 func (s *Stager) chooseVersion(g goal, newest ledger.Version) ledger.Version {
 	before := newest.Previous
 	if before == nil || before.Number == 0 || clock.Since(before.AppliedAt) > s.cfg.VersionBound {
--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -17,11 +17,10 @@
 )
 
 const (
-	// firstAttemptShare is the share of its objective for which a first attempt may wait. A
-	// caller that is refused by then has time to retry elsewhere; and what is left of the
-	// objective must suffice for the prompt, a pass of the engine and the error of the
-	// prediction, which take half of it. A fifth leaves time for the refusal to reach its
-	// caller within a quarter.
+	// firstAttemptShare is the share of its objective for which a first attempt may wait. What is
+	// left must suffice for the prompt, a pass of the engine and the error of the prediction, which
+	// take half of the objective. After a wait of a fifth, a refusal reaches its caller within a
+	// quarter, in time for a retry elsewhere.
 	firstAttemptShare = 0.2
 	// clientRetryShare is the same for a client retry after a refusal: it is late already, and
 	// the next refusal is its last.
--- a/internal/weights/swarm/swarm.go
+++ b/internal/weights/swarm/swarm.go
@@ -154,15 +154,15 @@
 
 	members []Peer
 	peers   []*peer // connected or to be connected
-	// candidates are the possible peers in order of preference; the first
-	// wanted of them are peers.
+	// candidates are the possible peers in order of preference.
 	candidates []Peer
-	wanted     int
-	base       int // value of wanted while all peers are healthy
-	requests   map[uint64]*request
-	order      []*request // in order of start
-	nextID     uint64
-	average    time.Duration // moving average of the duration of a request to a peer
+	// wanted is how many of the candidates are made peers, from the first one on.
+	wanted   int
+	base     int // value of wanted while all peers are healthy
+	requests map[uint64]*request
+	order    []*request // in order of start
+	nextID   uint64
+	average  time.Duration // moving average of the duration of a request to a peer
 
 	assignment assignment
 	source     source
--- a/internal/weights/transfer/hub.go
+++ b/internal/weights/transfer/hub.go
@@ -107,7 +107,7 @@
 	return update, nil
 }
 
-// fewChanges reports whether the changes since the cursor are fewChanges in proportion
+// fewChanges reports whether the changes since the cursor are few in proportion
 // to those already sent.
 func (h *hub) fewChanges(at *cursor) bool {
 	h.mu.Lock()
